--- a/src/jasminerelay/estimate.py
+++ b/src/jasminerelay/estimate.py
@@ -1,4 +1,4 @@
-"""Estimates how long an answer will be, from those of the same kind."""
+"""Estimates the length of an answer from previous answers of the same kind."""
 
 import collections
 
@@ -8,7 +8,8 @@
 HIGHEST_TOKENS = 100_000
 SIGNIFICANT_FIGURES = 2
 WINDOW = 500
-"""Answers after which a kind starts a new histogram beside the old one."""
+"""Number of answers after which a kind starts a new histogram beside the
+previous one."""
 
 
 class Estimator:
@@ -20,11 +21,11 @@
         self._cached: dict[str, float] = collections.defaultdict(float)
 
     def observe(self, kind: str, tokens: int) -> None:
-        """Takes the length of a finished answer."""
+        """Records the length of a finished answer."""
         histogram = self._current.get(kind)
         if histogram is None or histogram.total_count >= WINDOW:
-            # The older window stays until the newer one is full, so that the
-            # estimate follows a change without jumping to nothing.
+            # The previous window is used until the current one is full, so that
+            # the estimate follows a change without restarting from no data.
             if histogram is not None:
                 self._previous[kind] = histogram
             histogram = _new_histogram()
@@ -33,7 +34,7 @@
         self._cached.pop(kind, None)
 
     def tokens(self, kind: str, max_tokens: int) -> float:
-        """Returns the estimate, at most what the caller asked for."""
+        """Returns the estimate, at most the maximum set by the caller."""
         if kind not in self._cached:
             histogram = self._previous.get(kind) or self._current.get(kind)
             self._cached[kind] = (
--- a/src/jasminerelay/lengths.py
+++ b/src/jasminerelay/lengths.py
@@ -1,27 +1,27 @@
-"""How many tokens an answer will have, from its caller's guess and its kind.
+"""Estimates output lengths from the caller's hint and the history of the kind.
 
-Pure. A caller's guess is right at the median and often off by a factor of two
-or more; a kind's answers are spread as well, but less than the guesses are
-off. Their geometric mean has the smaller error: a guess of 1,350 tokens came
-before answers of 280, and taken as it is it had requests refused that would
-have ended in a quarter of their time.
+Pure. A caller's hint is right at the median and often wrong by a factor of two
+or more; the answers of a kind vary as well, but less than the hints are wrong.
+The geometric mean of both has the smaller error: a hint of 1,350 tokens
+preceded answers of 280, and used alone it caused requests to be refused that
+would have finished in a quarter of their time.
 """
 
 import math
 
-WEIGHT = 0.03
-"""Weight of one answer in the running mean of its kind's lengths."""
+OBSERVATION_WEIGHT = 0.03
+"""Weight of one answer in the moving average of its kind's lengths."""
 
-HINT_SHARE = 0.5
-"""Weight of the caller's guess, on a logarithmic scale."""
+HINT_WEIGHT = 0.5
+"""Weight of the caller's hint, on a logarithmic scale."""
 
-UNKNOWN_SHARE = 0.4
-"""Part of the most tokens allowed that an answer is taken to have when
-neither its kind nor its caller says more."""
+DEFAULT_OUTPUT_SHARE = 0.4
+"""Share of the maximum output that an answer is assumed to have if neither its
+kind nor its caller gives an estimate."""
 
 
 class Lengths:
-    """Answers' lengths by kind.
+    """Output lengths by kind.
 
     Example:
         >>> lengths = Lengths()
@@ -33,32 +33,32 @@
     """
 
     def __init__(self) -> None:
-        self._logs: dict[str, float] = {}
+        self._mean_logs: dict[str, float] = {}
 
     def observe(self, kind: str, tokens: int) -> None:
-        """Takes the length of a whole answer."""
+        """Records the length of a complete answer."""
         value = math.log(max(1, tokens))
-        held = self._logs.get(kind, value)
-        self._logs[kind] = held + WEIGHT * (value - held)
+        held = self._mean_logs.get(kind, value)
+        self._mean_logs[kind] = held + OBSERVATION_WEIGHT * (value - held)
 
-    def typical(self, kind: str, most: int) -> int:
-        """Returns the usual length of a kind's answers."""
-        if kind not in self._logs:
-            return max(1, round(most * UNKNOWN_SHARE))
-        return min(most, round(math.exp(self._logs[kind])))
+    def typical(self, kind: str, max_output: int) -> int:
+        """Returns the typical output length of a kind."""
+        if kind not in self._mean_logs:
+            return max(1, round(max_output * DEFAULT_OUTPUT_SHARE))
+        return min(max_output, round(math.exp(self._mean_logs[kind])))
 
-    def expect(self, kind: str, hint: int | None, most: int) -> int:
-        """Returns the likely length of one answer.
+    def expect(self, kind: str, hint: int | None, max_output: int) -> int:
+        """Returns the expected output length of one answer.
 
         Args:
             kind: Its kind.
-            hint: Its caller's guess; None without one.
-            most: Most tokens that it may have.
+            hint: The caller's hint; None without one.
+            max_output: Maximum output tokens.
         """
         if hint is None:
-            return self.typical(kind, most)
-        if kind not in self._logs:
-            return max(1, min(hint, most))
-        value = HINT_SHARE * math.log(max(1, hint))
-        value += (1 - HINT_SHARE) * self._logs[kind]
-        return max(1, min(most, round(math.exp(value))))
+            return self.typical(kind, max_output)
+        if kind not in self._mean_logs:
+            return max(1, min(hint, max_output))
+        value = HINT_WEIGHT * math.log(max(1, hint))
+        value += (1 - HINT_WEIGHT) * self._mean_logs[kind]
+        return max(1, min(max_output, round(math.exp(value))))
--- a/src/jasminerelay/prefix.py
+++ b/src/jasminerelay/prefix.py
@@ -1,7 +1,7 @@
-"""An approximate view of which server has which prompt prefix cached.
+"""Approximate index of the prompt prefixes in the servers' KV caches.
 
-Cache events come late and with gaps, so the index is a hint for routing and
-never more: a wrong entry costs a prefill, not an answer.
+Cache events arrive late and with gaps, so the index is only a hint for routing:
+a wrong entry costs one prefill and never an answer.
 """
 
 import collections
@@ -32,18 +32,18 @@
 
 
 def part_hash(name: str) -> int:
-    """Returns the hash by which a prompt's part is known."""
+    """Returns the hash that identifies a part of a prompt."""
     return xxhash.xxh64_intdigest(name.encode())
 
 
 class PrefixIndex:
-    """Which blocks each backend server probably holds; least recent go."""
+    """Blocks that each server probably has cached, with LRU eviction."""
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY):
-        """Makes an empty index.
+        """Creates an empty index.
 
         Args:
-            capacity: Most entries over all servers.
+            capacity: Maximum number of entries over all servers.
         """
         self._capacity = capacity
         self._entries: collections.OrderedDict[tuple[str, int], None] = (
@@ -55,7 +55,7 @@
         return len(self._entries)
 
     def add(self, server: str, hashes: tuple[int, ...]) -> None:
-        """Notes that a server computed these blocks."""
+        """Records that a server computed these blocks."""
         for block in hashes:
             self._entries[server, block] = None
             self._entries.move_to_end((server, block))
@@ -69,11 +69,12 @@
         stored: tuple[int, ...],
         removed: tuple[int, ...],
     ) -> None:
-        """Takes a cache event of a server.
+        """Applies a cache event of a server.
 
-        A gap in the sequence means that removals were missed: the server's
-        entries would then name blocks that it dropped, and requests would
-        be sent after a cache that is not there. So all of them are dropped.
+        A gap in the sequence means that removals were missed. The server's
+        entries could then name blocks that it has evicted, and requests would
+        be routed to a cache that no longer exists, so all its entries are
+        deleted.
         """
         expected = self._sequence.get(server, sequence)
         self._sequence[server] = sequence + 1
@@ -86,13 +87,13 @@
         self.add(server, stored)
 
     def forget(self, server: str) -> None:
-        """Drops all entries of a server."""
+        """Deletes all entries of a server."""
         stale = [key for key in self._entries if key[0] == server]
         for key in stale:
             del self._entries[key]
 
     def matched(self, server: str, hashes: tuple[int, ...]) -> int:
-        """Returns how many leading blocks a server probably holds."""
+        """Returns how many leading blocks a server probably has cached."""
         count = 0
         for block in hashes:
             if (server, block) not in self._entries:
@@ -102,12 +103,13 @@
 
 
 class CacheView:
-    """Which parts of prompts each server holds, by all that was sent there.
+    """Prompt parts in each server's KV cache, derived from requests sent.
 
-    For who places all requests of a server. Engines drop what was used least
-    recently once their memory is full; what they are taken to hold beyond
-    that would be placed by and read again. On engines that hold thirty long
-    prompts a start is dropped after some fifteen seconds.
+    For the instance that places all requests of a server. Engines evict the
+    least recently used parts once their cache is full; if the view kept more,
+    requests would be placed by parts that must be prefilled again. On engines
+    that hold thirty long prompts a prefix is evicted after some fifteen
+    seconds.
 
     Example:
         >>> view = CacheView()
@@ -126,15 +128,15 @@
     def add(
         self, server: str, parts: Sequence[tuple[int, int]], capacity: int
     ) -> None:
-        """Notes that a server reads a prompt.
+        """Records that a server prefills a prompt.
 
         Args:
             server: The server.
-            parts: Hash and tokens of the prompt's parts, in order.
-            capacity: Tokens that the server holds.
+            parts: Hash and token count of the prompt's parts, in order.
+            capacity: KV cache capacity of the server in tokens.
         """
         held = self._parts.setdefault(server, collections.OrderedDict())
-        # The start is the last to go: without it the rest is of no use.
+        # The prefix is evicted last: without it the rest is of no use.
         for part, tokens in reversed(parts):
             self._tokens[server] += tokens - held.pop(part, 0)
             held[part] = tokens
@@ -143,7 +145,7 @@
             self._tokens[server] -= tokens
 
     def matched(self, server: str, hashes: Sequence[int]) -> int:
-        """Returns how many leading parts a server holds."""
+        """Returns how many leading parts a server has cached."""
         held = self._parts.get(server, {})
         count = 0
         for part in hashes:
@@ -153,6 +155,6 @@
         return count
 
     def forget(self, server: str) -> None:
-        """Drops a server that has ended."""
+        """Deletes the record of a server that has ended."""
         self._parts.pop(server, None)
         self._tokens.pop(server, None)
--- a/src/jasminerelay/stragglers.py
+++ b/src/jasminerelay/stragglers.py
@@ -1,13 +1,13 @@
-"""Finds backend servers that are much slower than their peers.
+"""Detects backend servers that are much slower than their peers.
 
 A server's time between tokens is compared with the median of its peers; an
-absolute limit would misjudge every server under a common burst.
+absolute limit would misjudge every server under a burst that affects all.
 """
 
 import dataclasses
 import statistics
 
-SMOOTHING = 0.2
+SMOOTHING_WEIGHT = 0.2
 SLOW_FACTOR = 2.0
 FAILURE_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 15.0
@@ -22,52 +22,55 @@
 
 
 class Stragglers:
-    """Step times and failures of the servers of one cell."""
+    """Step times and failures of the servers of a cell."""
 
     def __init__(self) -> None:
         self._health: dict[str, _Health] = {}
 
     def observe(self, server: str, step_s: float) -> None:
-        """Takes one measured time between tokens in seconds."""
+        """Records one measured time between tokens in seconds."""
         if step_s <= 0:
             return
-        health = self._of(server)
+        health = self._record_of(server)
         if health.step_s == 0:
             health.step_s = step_s
         else:
-            health.step_s += SMOOTHING * (step_s - health.step_s)
+            health.step_s += SMOOTHING_WEIGHT * (step_s - health.step_s)
 
     def forget(self, server: str) -> None:
-        """Drops a server that has ended."""
+        """Deletes the record of a server that has ended."""
         self._health.pop(server, None)
 
     def succeeded(self, server: str) -> None:
-        """Notes a request that the server finished."""
-        health = self._of(server)
+        """Records a request that the server completed."""
+        health = self._record_of(server)
         health.failures = NO_FAILURES
         health.blocked_until = 0.0
 
     def failed(self, server: str, now: float) -> None:
-        """Notes a failure; the server rests, longer each time.
+        """Records a failure; blocks the server with exponential back-off.
 
-        After the rest it is offered one request as a probe (see `probing`).
+        After the back-off it gets one request as a probe (see `probing`).
         """
-        health = self._of(server)
+        health = self._record_of(server)
         health.failures += 1
         backoff = FAILURE_BACKOFF_S * 2 ** (health.failures - 1)
         health.blocked_until = now + min(backoff, MAX_BACKOFF_S)
 
     def blocked(self, server: str, now: float) -> bool:
-        """Returns whether the server rests after a failure."""
-        return now < self._of(server).blocked_until
+        """Returns whether the server is in back-off after a failure."""
+        return now < self._record_of(server).blocked_until
 
     def probing(self, server: str) -> bool:
-        """Returns whether the server failed last and gets one try at a time."""
-        return self._of(server).failures > NO_FAILURES
+        """Returns whether the server is limited to one probe at a time.
+
+        This holds from a failure until the next success.
+        """
+        return self._record_of(server).failures > NO_FAILURES
 
     def slowness(self, server: str) -> float:
         """Returns the step time relative to the median of its peers."""
-        own = self._of(server).step_s
+        own = self._record_of(server).step_s
         peers = [
             health.step_s
             for name, health in self._health.items()
@@ -81,5 +84,5 @@
         """Returns whether the server is much slower than its peers."""
         return self.slowness(server) >= SLOW_FACTOR
 
-    def _of(self, server: str) -> _Health:
+    def _record_of(self, server: str) -> _Health:
         return self._health.setdefault(server, _Health())
