--- a/src/jasminerelay/admission.py
+++ b/src/jasminerelay/admission.py
@@ -1,70 +1,74 @@
-"""Whether a request that must wait can still end in time.
+"""Decides whether a queued request can still finish in time.
 
-Pure. A request that waits in vain costs twice: its caller learns too late to
-do anything else, and an engine that works on it past its time limit throws
-the tokens away. So what cannot end in time is refused as soon as that shows,
-with a time to come back at which it has a chance.
+Pure. A request that is queued in vain costs twice: its caller gets the error
+too late to react, and an engine that works on it past its time limit wastes the
+tokens. A request that cannot finish in time is therefore refused as soon as
+that is clear, with a Retry-After time at which it has a chance.
 """
 
 import dataclasses
 import math
 
 MARGIN_SHARE = 0.9
-"""Part of the time left that the expected time may take. Expected times are
-off by their nature; a tenth keeps most of those that are admitted in time."""
+"""Share of the time left that the expected time may take. The estimates are
+inexact; a margin of a tenth keeps most admitted requests in time."""
 
-RETRY_LEAST_S = 0.25
+MIN_RETRY_S = 0.25
 RETRY_SHARE = 0.33
-"""Callers wait as told up to a third of the time that they have left; a
-longer time would not be kept to, a very short one brings all back at once."""
+"""Share of its remaining time for which a caller is asked to wait. Callers do
+not respect a longer wait; a very short one makes all of them retry at once."""
 
-SPREAD_S = 0.4
-"""Span over which the return of requests refused together is spread."""
+RETRY_SPREAD_S = 0.4
+"""Range over which the retries of requests refused together are spread."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Prospect:
-    """What is expected of a request that waits.
+class WaitEstimate:
+    """Expected times of a queued request.
 
     Attributes:
-        ahead_s: Time until the work before it has found its place.
-        own_s: Time from its place to its end.
-        left_s: Time until it must have ended.
-        first_s: Time from its place to the first sign of its answer.
-        patience_s: Time until its caller leaves without such a sign.
+        queue_delay_s: Time until the work queued before it is placed.
+        service_s: Time from its placement to its end.
+        remaining_s: Time until its deadline.
+        first_s: Time from its placement to its first event.
+        patience_s: Time after which its caller disconnects if no event has
+            come.
     """
 
-    ahead_s: float
-    own_s: float
-    left_s: float
+    queue_delay_s: float
+    service_s: float
+    remaining_s: float
     first_s: float = 0.0
     patience_s: float = math.inf
 
     @property
-    def missing_s(self) -> float:
-        """Time by which it is too late for its end or its caller's patience.
+    def overrun_s(self) -> float:
+        """Time by which it misses its deadline or its caller's patience.
 
-        A stream whose caller leaves before the first event has its prompt
-        read in vain: under a burst that was a third of what was not served.
+        If the caller of a stream disconnects before the first event, the
+        prefill is wasted: under a burst that was a third of the requests not
+        served.
         """
         return max(
-            self.ahead_s + self.own_s - self.left_s * MARGIN_SHARE,
-            self.ahead_s + self.first_s - self.patience_s * MARGIN_SHARE,
+            self.queue_delay_s
+            + self.service_s
+            - self.remaining_s * MARGIN_SHARE,
+            self.queue_delay_s + self.first_s - self.patience_s * MARGIN_SHARE,
         )
 
     @property
-    def hopeless(self) -> bool:
-        """Whether it cannot be expected to be of use to its caller."""
-        return self.missing_s > 0
+    def too_late(self) -> bool:
+        """Whether it is expected to finish too late for its caller."""
+        return self.overrun_s > 0
 
 
-def retry_after_s(prospect: Prospect, spread: float) -> float:
-    """Returns when a refused request should come back.
+def retry_after_s(estimate: WaitEstimate, spread: float) -> float:
+    """Returns the Retry-After time of a refused request.
 
     Args:
-        prospect: Why it was refused.
-        spread: From 0 to 1, another for each request.
+        estimate: Its expected times.
+        spread: Number from 0 to 1 that differs between requests.
     """
-    wanted = max(RETRY_LEAST_S, prospect.missing_s) + spread * SPREAD_S
-    kept_to = max(0.05, prospect.left_s * RETRY_SHARE)
-    return math.floor(100 * min(wanted, kept_to)) / 100
+    desired = max(MIN_RETRY_S, estimate.overrun_s) + spread * RETRY_SPREAD_S
+    limit_s = max(0.05, estimate.remaining_s * RETRY_SHARE)
+    return math.floor(100 * min(desired, limit_s)) / 100
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -1,4 +1,4 @@
-"""Chooses servers for requests from all that an instance knows."""
+"""Chooses backend servers for requests from the state that an instance has."""
 
 import dataclasses
 import math
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
 from jasminerelay import placing, rendezvous
-from jasminerelay.admission import Prospect
+from jasminerelay.admission import WaitEstimate
 from jasminerelay.catalog import (
     BackendServer,
     Call,
@@ -14,60 +14,60 @@
     PromptPart,
 )
 from jasminerelay.enginemodel import EngineModels, Speeds
-from jasminerelay.groups import DemandMeter, DemandView, Need, Split
+from jasminerelay.groups import DemandMeter, DemandView, ResourceNeed, Split
 from jasminerelay.lengths import Lengths
-from jasminerelay.pace import PaceBook
+from jasminerelay.pace import TokenTimes
 from jasminerelay.placing import Guess, Option, Placed, Wait
 from jasminerelay.prefix import CacheView, PrefixIndex, part_hash
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import EngineSample, KindDemand, ServerLoad
 from jasminerelay.serverlimits import Allowance
-from jasminerelay.silences import Silences
+from jasminerelay.silences import ResponseMonitor
 from jasminerelay.stragglers import Stragglers
 from jasminerelay.waitingroom import Seat
 from jasminerelay.workload import Run, Workload
 
-SPLIT_EVERY_S = 0.5
-"""How often the split of a service's servers is looked at."""
+SPLIT_INTERVAL_S = 0.5
+"""Interval at which the assignment of servers to kinds is computed again."""
 
 
-US = 1e6
+US_PER_S = 1e6
 
-LEAST_RATE = 0.01
-"""Requests a second that servers are taken to allow at the least, where what is
-left to expect is worked out."""
+MIN_RATE = 0.01
+"""Lower bound on the requests per second that rate-limited servers are assumed
+to accept, in wait estimates."""
 
-OUTLOOK_LIFE_S = 0.02
-"""How long what is read off a kind's servers serves all who wait for them.
-Under a burst dozens wait and are looked at thirty times a second; read anew
-for each, looks would take most of the processor."""
+WAIT_ESTIMATE_MAX_AGE_S = 0.02
+"""How long one wait estimate is used for all queued requests of a kind. Under a
+burst dozens of requests are queued and examined thirty times a second;
+computing it for each would take most of the processor."""
 
-END_SHARE = 0.85
-"""Part of the time left that the rest of an answer may be expected to take
-before it is moved to an engine that makes tokens faster."""
+CURRENT_SERVER_SHARE = 0.85
+"""Share of the time left that the rest of an answer may take at its present
+engine before the stream is moved to a faster one."""
 
-LATEST_SHARE = 0.4
-"""Part of the time left that the rest of an answer may take at a quick engine
-before it is moved there. Most that look too slow for a moment end where they
-are; a move of each cost more than all that it saved."""
+FAST_SERVER_SHARE = 0.4
+"""Share of the time left that the rest of an answer may take at a fast engine
+before the stream is moved there. Most streams that look too slow for a moment
+finish where they are; moving each of them cost more than it saved."""
 
-QUICKER_SHARE = 0.6
-"""Pace, relative to that of its engine, of one that a run is moved to. A move
-costs a pause and the transfer of its memory."""
+FASTER_TOKEN_SHARE = 0.6
+"""Largest time per token of the target of a move, relative to that of the
+present engine. A move costs a pause and the transfer of the KV cache."""
 
 AHEAD_SHARE = 0.25
-"""Tokens ahead, as a part of a request's own, up to which the time to its
-first event is a measure of the engine. What lies ahead is known late and
-inexactly."""
+"""Largest number of tokens queued ahead, as a share of the request's own, at
+which its time to first event is used to measure the engine. The number queued
+ahead is known late and inexactly."""
 
-CALM_S = 0.1
-"""Reading ahead at an engine up to which its streams show its own step; the
-tokens that come between two short prompts outnumber those that a prompt holds
-up."""
+UNDISTURBED_PREFILL_S = 0.1
+"""Largest prefill backlog of an engine at which the time per token of its
+streams is taken as its step time; between two short prompts more tokens are
+undelayed than delayed."""
 
 PAUSE_SHARE = 0.5
-"""Part of the longest pause allowed that an engine's own work may fill; the
-rest is for the links."""
+"""Share of the longest allowed pause that may pass in the engine; the rest is
+for the network."""
 
 OnSplit = Callable[
     [str, Mapping[str, tuple[str, ...]], Sequence[KindDemand]], None
@@ -75,28 +75,29 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Outlook:
-    """What waits at the servers of one kind.
+class _KindQueue:
+    """Queueing state of the servers of one kind.
 
     Attributes:
-        at: Steady time as of which it holds.
-        reading_s: Reading that lies ahead at each server.
-        share: Instances that send to one server.
-        token_s: Seconds per token at the fastest one where it may go on.
+        at: Monotonic time of the estimate.
+        prefill_delay_s: Mean time of pending prefill at a server.
+        share: Number of instances per server.
+        token_s: Time per token in seconds at the fastest server where the
+            stream may continue.
     """
 
     at: float
-    reading_s: float
+    prefill_delay_s: float
     share: float
     token_s: float
 
 
 class Dispatcher:
-    """Places requests; owns what that takes and no socket.
+    """Chooses servers for requests; opens no connections.
 
     Attributes:
-        sees_steps: Whether engines' steps are measured by the streams here;
-            else owners of cells are told of them.
+        sees_steps: Whether step times are measured from the streams of this
+            instance; otherwise cell owners receive them in reports.
     """
 
     def __init__(
@@ -106,23 +107,23 @@
         instances: Callable[[], int],
         engines: EngineModels | None = None,
         lengths: Lengths | None = None,
-        silences: Silences | None = None,
+        response_monitor: ResponseMonitor | None = None,
         caches: CacheView | None = None,
         allowance: Allowance | None = None,
     ):
-        """Makes a dispatcher.
+        """Creates a dispatcher.
 
         Args:
             registry: Configuration and servers.
-            zone: This instance's availability zone.
-            instances: Returns how many instances share the work.
-            engines: What is known of engines; new if None.
-            lengths: What is known of answers' lengths; new if None.
-            silences: Judges servers that say nothing; new if None.
-            caches: What the servers hold, for who places all their requests;
-                None for one of several.
-            allowance: What may be sent to servers that have a limit; None
-                where no server names one.
+            zone: Availability zone of this instance.
+            instances: Returns the number of instances that share the load.
+            engines: Performance models of the engines; new if None.
+            lengths: Statistics of output lengths; new if None.
+            response_monitor: Detector of unresponsive servers; new if None.
+            caches: Contents of the servers' KV caches, for an instance that
+                places all their requests; None if several instances place
+                requests there.
+            allowance: Rate limits of servers; None if no server has one.
         """
         self._registry = registry
         self._zone = zone
@@ -132,25 +133,27 @@
         self.demand = DemandView()
         self._splits: dict[str, Split] = {}
         self._kinds: dict[str, list[KindDemand]] = {}
-        self._split_at = float("-inf")
+        self._splits_updated_at = float("-inf")
         self._health: dict[str, Stragglers] = {}
-        self._warm = PrefixIndex()
+        self._prefixes = PrefixIndex()
         self._caches = caches
         self._allowance = Allowance() if allowance is None else allowance
         self.lengths = lengths or Lengths()
-        self._silences = silences or Silences()
-        self.paces = PaceBook()
+        self._response_monitor = response_monitor or ResponseMonitor()
+        self.paces = TokenTimes()
         self.engines = engines or EngineModels()
-        self._outlooks: dict[tuple[str, str], _Outlook] = {}
+        self._kind_queues: dict[tuple[str, str], _KindQueue] = {}
         self.sees_steps = True
         self.on_split: OnSplit = lambda service, groups, demand: None
 
     def own_loads(self, now: float) -> list[ServerLoad]:
-        """Returns what this instance has and sees at servers."""
+        """Returns this instance's load and decode speed at each server."""
         return [
             dataclasses.replace(
                 item,
-                token_us=round(US * (self.paces.own_s(item.server, now) or 0)),
+                token_us=round(
+                    US_PER_S * (self.paces.own_s(item.server, now) or 0)
+                ),
             )
             for item in self.workload.own()
         ]
@@ -162,95 +165,97 @@
         loads: Iterable[ServerLoad],
         now: float,
     ) -> None:
-        """Takes what another instance has and sees at servers."""
+        """Applies another instance's load report, unless it is out of date."""
         loads = list(loads)
         if not self.workload.hear(instance, number, loads, now):
             return
         for item in loads:
             if item.token_us:
-                self.paces.hear(item.server, item.token_us / US, now)
+                self.paces.hear(item.server, item.token_us / US_PER_S, now)
 
     def heard(self, server: str, now: float) -> None:
-        """Notes that a server said something, whatever it was."""
-        self._silences.heard(server, now)
+        """Records that a server sent some response, whatever it was."""
+        self._response_monitor.record_response(server, now)
 
     def silent(self, server: str, now: float) -> bool:
-        """Returns whether a server owes this instance a word for too long."""
+        """Returns whether a server is unresponsive to this instance."""
         own = self.workload.own_running(server)
-        return self._silences.silent(server, own, now)
+        return self._response_monitor.silent(server, own, now)
 
     def health(self, service: str) -> Stragglers:
-        """Returns what is known of the health of a service's servers."""
+        """Returns the failure records of a service's servers."""
         return self._health.setdefault(service, Stragglers())
 
     def engine_of(self, service: str) -> Engine | None:
-        """Returns what a service's engines can do; None for a plain one."""
+        """Returns a service's engine settings; None for a plain service."""
         catalog = self._registry.catalog
         held = catalog.services.get(service) if catalog else None
         return held.engine if held else None
 
     def arrived(self, call: Call) -> None:
-        """Notes a new request."""
+        """Records the arrival of a request."""
         if call.prompt is None:
             return
         engine = self.engine_of(call.service)
         if engine is not None:
             model = self.engines.of(call.service)
-            model.assume(engine, call.route, call.prompt.tokens)
+            model.set_initial_estimate(engine, call.route, call.prompt.tokens)
         kind = call.route.name
-        need = self._need(call)
-        self.meter.arrived(call.service, kind, call.route.rank, need)
+        resources = self._resource_need(call)
+        self.meter.record(call.service, kind, call.route.rank, resources)
         split = self._splits.get(call.service)
         if split is None or not split.group(kind):
-            self._split(time.monotonic())
+            self._update_splits(time.monotonic())
 
     def busy_s(self, call: Call) -> float:
-        """Returns how long a request keeps a server busy."""
+        """Returns how long a request occupies a server."""
         if call.prompt is None:
             return call.route.objective_s / 4
-        return self._need_s(call.service, self._need(call))
+        return self._need_time_s(call.service, self._resource_need(call))
 
     def first_s(self, call: Call) -> float:
-        """Returns how long a request's first event takes once it is placed."""
+        """Returns the expected time from placement to the first event."""
         if call.prompt is None:
             return 0.0
         speeds = self._speeds(call.service)
         return placing.KNOWN_UNREAD_S + speeds.first_s(call.prompt.own_tokens)
 
     def place(self, call: Call, avoid: frozenset[str]) -> Placed | Wait:
-        """Finds a place now."""
+        """Chooses a server for a request, or decides that it must wait."""
         servers = [
             server
             for server in self._registry.servers_of(call.service)
             if server.id not in avoid
         ]
         if not servers:
-            return Wait("no server in use")
-        free = self._unlimited(servers)
-        if len(free) == len(servers):
+            return Wait("service has no usable server")
+        unlimited = self._unlimited(servers)
+        if len(unlimited) == len(servers):
             return self._place_among(call, servers)
-        return self._place_beside_limits(call, servers, free)
+        return self._place_with_limits(call, servers, unlimited)
 
-    def _place_beside_limits(
+    def _place_with_limits(
         self,
         call: Call,
         servers: list[BackendServer],
-        free: list[BackendServer],
+        unlimited: list[BackendServer],
     ) -> Placed | Wait:
-        """Places a request where some servers have a limit.
+        """Places a request where some servers have a rate limit.
 
-        Such a server is in need, so work goes elsewhere first; and it looks
-        idle for the little that it gets.
+        A limited server is overloaded, although it looks idle because it gets
+        so little. Other servers are preferred to it, except for trial requests.
         """
         now = time.monotonic()
-        limited = [item for item in servers if item not in free]
+        limited = [item for item in servers if item not in unlimited]
         allowance = self._allowance
-        tried = [x for x in limited if allowance.on_trial(x.id, now)]
+        probes = [x for x in limited if allowance.on_trial(x.id, now)]
         held = [x for x in limited if allowance.may_send(x.id, now)]
-        placed: Placed | Wait = Wait("its servers take no more for now")
-        for some in (tried, free, held):
-            if some:
-                placed = self._place_among(call, some)
+        placed: Placed | Wait = Wait(
+            "rate limits of the service's servers are used up"
+        )
+        for candidates in (probes, unlimited, held):
+            if candidates:
+                placed = self._place_among(call, candidates)
             if isinstance(placed, Placed):
                 return placed
         for item in limited:
@@ -263,57 +268,66 @@
         engine = self.engine_of(call.service)
         if call.prompt is None or engine is None:
             options = self._options(call, servers)
-            return placing.place_plain(call, _some(options), self._zone)
+            return placing.place_plain(
+                call, _unblock_if_all_blocked(options), self._zone
+            )
         group = self._group(call.service, call.route.name, servers)
         now = time.monotonic()
-        guess = self._guess(call)
+        estimate = self._output_estimate(call)
         speeds = self._speeds(call.service)
-        options = _some(self._options(call, group))
-        placed = placing.place_model(call, engine, speeds, options, guess, now)
+        options = _unblock_if_all_blocked(self._options(call, group))
+        placed = placing.place_model(
+            call, engine, speeds, options, estimate, now
+        )
         if isinstance(placed, Placed):
             return placed
-        names = self._lent(call)
-        if self._may_spill(call, now):
-            names |= {server.id for server in servers}
+        allowed_ids = self._overflow_servers(call)
+        if self._may_use_any_server(call, now):
+            allowed_ids |= {server.id for server in servers}
         others = [
             server
             for server in servers
-            if server.id in names and server not in group
+            if server.id in allowed_ids and server not in group
         ]
         if not others:
             return placed
-        harmless = self._harmless_tokens(call.service)
-        left = harmless - call.prompt.tokens
-        options = placing.calm(self._options(call, others), left)
-        return placing.place_model(call, engine, speeds, options, guess, now)
+        max_concurrent = self._max_concurrent_prefill(call.service)
+        allowed = max_concurrent - call.prompt.tokens
+        options = placing.with_prefill_at_most(
+            self._options(call, others), allowed
+        )
+        return placing.place_model(call, engine, speeds, options, estimate, now)
 
     def _options(
         self, call: Call, servers: list[BackendServer]
     ) -> list[Option]:
         now = time.monotonic()
-        paces = self.paces.of_alike((item.id for item in servers), now)
+        comparison = self.paces.compare((item.id for item in servers), now)
         shared = call.prompt.shared if call.prompt is not None else ()
-        hashes = tuple(part_hash(part.id) for part in shared)
+        part_hashes = tuple(part_hash(part.id) for part in shared)
         return [
             Option(
                 server,
                 self.workload.load(server.id),
-                self._warm_tokens(server.id, shared, hashes),
-                paces.slowness(server.id),
-                paces.token_s[server.id],
+                self._cached_tokens(server.id, shared, part_hashes),
+                comparison.slowness(server.id),
+                comparison.token_s[server.id],
                 self._blocked(call.service, server.id, now),
                 self._caches is not None,
             )
             for server in servers
         ]
 
-    def _warm_tokens(
-        self, server: str, shared: Sequence[PromptPart], hashes: tuple[int, ...]
+    def _cached_tokens(
+        self,
+        server: str,
+        shared: Sequence[PromptPart],
+        part_hashes: tuple[int, ...],
     ) -> int:
-        if not hashes:
+        if not part_hashes:
             return 0
-        view = self._warm if self._caches is None else self._caches
-        count = view.matched(server, hashes)
+        view = self._prefixes if self._caches is None else self._caches
+        count = view.matched(server, part_hashes)
         return sum(part.tokens for part in shared[:count])
 
     def _blocked(self, service: str, server: str, now: float) -> bool:
@@ -322,18 +336,18 @@
             return True
         if self.silent(server, now):
             return True
-        # After a rest it gets one request at a time.
+        # After the back-off a server gets one request at a time.
         busy = self.workload.load(server).running > 0
         return busy and health.probing(server)
 
-    def _lent(self, call: Call) -> set[str]:
+    def _overflow_servers(self, call: Call) -> set[str]:
         """Returns other kinds' servers that a request may use at once.
 
-        A cell has few servers, so a kind that needs one and a half gets one
-        and waits, or two; and a split follows a burst a second or two late.
-        So a kind may use servers of those that come after it in rank, but for
-        those with the longest prompts, beside which its pauses would be too
-        long.
+        A cell has few servers, so a kind that needs one and a half gets one,
+        with queueing, or two; and the split follows a burst by a second or two.
+        A kind may therefore use the servers of kinds of lower priority, except
+        those of the kind with the longest prompts, whose prefill would cause
+        pauses that are too long.
         """
         split = self._splits.get(call.service)
         if split is None:
@@ -348,23 +362,23 @@
             for name in split.group(item.kind)
         }
 
-    def _may_spill(self, call: Call, now: float) -> bool:
-        """Whether a request may go to other kinds' servers.
+    def _may_use_any_server(self, call: Call, now: float) -> bool:
+        """Returns whether a request may use the servers of any kind.
 
-        Only what is late already and has short prompts: a late one loses
-        little by the longer pauses there, and reads too little to stretch
-        those of others.
+        Only a request that is past its objective and has a short prompt may:
+        longer pauses cost it little, and its prefill is too short to delay the
+        streams of other kinds.
         """
         late = now - call.arrived > call.route.objective_s
-        return late and call.prompt.tokens <= self._harmless_tokens(
+        return late and call.prompt.tokens <= self._max_concurrent_prefill(
             call.service
         )
 
-    def _harmless_tokens(self, service: str) -> float:
-        """Returns how many tokens may be read beside any stream.
+    def _max_concurrent_prefill(self, service: str) -> float:
+        """Returns how many prompt tokens may be prefilled beside any stream.
 
-        The reading holds up the tokens of the streams beside it; those with
-        the shortest pause allowed bear this much of it.
+        Prefill delays the tokens of concurrent streams; the route with the
+        shortest allowed pause sets the bound.
         """
         catalog = self._registry.catalog
         engine = self.engine_of(service)
@@ -388,92 +402,94 @@
     def note_reading(
         self, call: Call, placed: Placed, ahead: int, seconds: float
     ) -> None:
-        """Takes the time in which a request's first event came.
+        """Records the time to a request's first event.
 
         Args:
             call: The request.
-            placed: Where it went.
-            ahead: Tokens that were to be read there before its own.
-            seconds: Time from its sending.
+            placed: Its placement.
+            ahead: Tokens pending prefill at the server before its own.
+            seconds: Time since it was sent.
         """
-        # What lay ahead was partly read and is known from others' words, so
-        # it must not be most of what is measured.
-        if not placed.sure or ahead > placed.unread * AHEAD_SHARE:
+        # Part of the tokens ahead is already prefilled, and the number comes
+        # from other instances' reports, so they must not dominate the
+        # measurement.
+        if not placed.prefill_known or ahead > placed.unread * AHEAD_SHARE:
             return
         tokens = ahead + placed.unread
         sample = EngineSample(call.service, True, tokens, seconds)
-        self.engines.see(sample, time.monotonic())
+        self.engines.add_local_sample(sample, time.monotonic())
 
     def reserve(
         self, call: Call, placed: Placed, number: int | None = None
     ) -> Run:
-        """Notes that a request goes to a server.
+        """Records that a request is sent to a server.
 
         Args:
             call: The request.
-            placed: Where it goes.
-            number: The run's number; None for a new one.
+            placed: Its placement.
+            number: Number of the in-flight request; None to assign a new one.
         """
         name = placed.server.id
         if number is None:
-            # With a number an owner has placed it, and spent its own grant.
+            # A request with a number was placed by a cell owner, whose own
+            # allowance was charged.
             self._allowance.spend(name, time.monotonic())
         idle = not self.workload.own_running(name)
-        self._silences.sent(name, idle, time.monotonic())
+        self._response_monitor.record_request(name, idle, time.monotonic())
         if call.prompt is not None:
-            self._note_parts(call, name)
+            self._record_cached_parts(call, name)
         return self.workload.start(name, placed.unread, placed.memory, number)
 
-    def _note_parts(self, call: Call, server: str) -> None:
+    def _record_cached_parts(self, call: Call, server: str) -> None:
         parts = call.prompt.parts
-        hashes = [part_hash(part.id) for part in parts]
+        part_hashes = [part_hash(part.id) for part in parts]
         engine = self.engine_of(call.service)
         if self._caches is None or engine is None:
-            self._warm.add(server, tuple(hashes))
+            self._prefixes.add(server, tuple(part_hashes))
             return
         tokens = [part.tokens for part in parts]
-        tokens[-1] += self._guess(call).output
+        tokens[-1] += self._output_estimate(call).output
         self._caches.add(
             server,
-            list(zip(hashes, tokens, strict=True)),
+            list(zip(part_hashes, tokens, strict=True)),
             engine.cache_tokens,
         )
 
     def seat_at(self, call: Call, server: BackendServer) -> Seat:
-        """Returns a seat at a server that has the run's memory already."""
+        """Reserves capacity at a server that has the request's KV cache."""
         self._allowance.spend(server.id, time.monotonic())
-        memory = call.prompt.tokens + self._guess(call).output
+        memory = call.prompt.tokens + self._output_estimate(call).output
         run = self.workload.start(server.id, 0, memory)
         return Seat(Placed(server, 0, memory), run)
 
     def refuge(self, call: Call, avoid: frozenset[str]) -> Seat | None:
-        """Returns a seat where a run from a leaving server should go on.
+        """Reserves a server for a stream that must leave a draining server.
 
-        All instances learn of a leaving server at the same moment and see the
-        same loads, so the emptiest server would get all its runs at once.
-        They go by the requests' ids, to the servers of their kind: on those
-        of a more urgent kind a run that goes on preempts what it finds.
+        All instances learn of a draining server at the same moment and see the
+        same loads, so by load they would all choose the same server. The
+        request's id chooses instead, among the servers of its kind: on servers
+        of a more urgent kind it would preempt the requests there.
         """
         engine = self.engine_of(call.service)
-        servers = self._open_to_moves(call.service, avoid)
+        servers = self._migration_targets(call.service, avoid)
         if engine is None or not servers:
             return None
-        memory = call.prompt.tokens + self._guess(call).output
+        memory = call.prompt.tokens + self._output_estimate(call).output
         group = self._group(call.service, call.route.name, servers)
-        options = _some(self._options(call, group))
-        roomy = [
+        options = _unblock_if_all_blocked(self._options(call, group))
+        available = [
             item.server
             for item in options
             if not item.blocked
-            and placing.has_room(
+            and placing.has_capacity(
                 engine, self._speeds(call.service), item, memory
             )
         ]
-        # A full one is better than none: the run is cut where it is.
-        by_id = {item.id: item for item in roomy or group}
+        # A full server is better than none, which would break the stream off.
+        by_id = {item.id: item for item in available or group}
         return self.seat_at(call, by_id[rendezvous.owner(call.id, by_id)])
 
-    def _open_to_moves(
+    def _migration_targets(
         self, service: str, avoid: frozenset[str]
     ) -> list[BackendServer]:
         now = time.monotonic()
@@ -492,169 +508,179 @@
     def cannot_end(
         self, call: Call, server: BackendServer, events: int
     ) -> bool:
-        """Returns whether a stream must go on elsewhere to end in time.
+        """Returns whether a stream must move to finish in time.
 
-        An engine that reads prompts without a break makes a token for each
-        piece that it reads, five times slower than one that only decodes. A
-        break may come, so a stream stays for as long as a quicker engine
-        could still end it.
+        An engine with continuous prefill makes one token per prompt chunk, five
+        times slower than one that only decodes. The prefill may end soon, so a
+        stream stays for as long as a faster engine could still finish it.
         """
         engine = self.engine_of(call.service)
         if engine is None or not engine.moves:
             return False
-        left_s = (call.ends - time.monotonic()) * END_SHARE
+        left_s = (call.ends - time.monotonic()) * CURRENT_SERVER_SHARE
         if self.left_s(call, server, events) < left_s:
             return False
         speeds = self._speeds(call.service)
         token_s = speeds.token_s(engine.slots / 2)
-        return self._left_tokens(call, events) * token_s > left_s * LATEST_SHARE
+        return (
+            self._remaining_tokens(call, events) * token_s
+            > left_s * FAST_SERVER_SHARE
+        )
 
     def quicker(
         self, call: Call, server: BackendServer, avoid: frozenset[str]
     ) -> Seat | None:
-        """Returns a seat where a run goes on that cannot end at its server.
+        """Reserves a faster server for a stream that cannot finish where it is.
 
-        Its prompt is read, so it does not stretch the pauses of the streams
-        there, whatever their kind. Requests spread by their ids over all
-        that are quicker.
+        Any kind's servers will do, because a stream whose prompt is prefilled
+        does not lengthen the pauses of others. Request ids spread the streams
+        over all faster servers.
         """
         engine = self.engine_of(call.service)
         now = time.monotonic()
-        memory = call.prompt.tokens + self._guess(call).output
+        memory = call.prompt.tokens + self._output_estimate(call).output
         speeds = self._speeds(call.service)
-        here_s = self.paces.token_s(server.id, now) or speeds.step_s
-        others = self._open_to_moves(call.service, avoid)
+        current_token_s = self.paces.token_s(server.id, now) or speeds.step_s
+        others = self._migration_targets(call.service, avoid)
         by_id = {
             item.server.id: item.server
             for item in self._options(call, others)
             if not item.blocked
-            and placing.has_room(engine, speeds, item, memory)
-            and (item.token_s or 0.0) < here_s * QUICKER_SHARE
+            and placing.has_capacity(engine, speeds, item, memory)
+            and (item.token_s or 0.0) < current_token_s * FASTER_TOKEN_SHARE
         }
         if not by_id:
             return None
         return self.seat_at(call, by_id[rendezvous.owner(call.id, by_id)])
 
     def left_s(self, call: Call, server: BackendServer, events: int) -> float:
-        """Returns how long a stream will go on at its server."""
+        """Returns the expected remaining time of a stream at its server."""
         engine = self.engine_of(call.service)
         if engine is None:
             return 0.0
-        pace = self.paces.token_s(server.id, time.monotonic())
-        pace = pace or self._speeds(call.service).step_s
-        return self._left_tokens(call, events) * pace
+        seconds_per_token = self.paces.token_s(server.id, time.monotonic())
+        seconds_per_token = (
+            seconds_per_token or self._speeds(call.service).step_s
+        )
+        return self._remaining_tokens(call, events) * seconds_per_token
 
-    def _left_tokens(self, call: Call, events: int) -> float:
-        guess = self._guess(call)
+    def _remaining_tokens(self, call: Call, events: int) -> float:
+        estimate = self._output_estimate(call)
         done = events * self.engine_of(call.service).event_tokens
-        # A stream that is past its guess is as likely to go on for long, and
-        # the longer it has gone on the longer.
-        return max(guess.output - done, guess.typical / 2, done / 2)
+        # A stream that exceeds its estimate probably goes on for long, the
+        # longer the more it has produced.
+        return max(estimate.output - done, estimate.typical / 2, done / 2)
 
-    def expect(self, call: Call, ahead_s: float) -> Prospect:
-        """Returns what to expect of a request that waits."""
+    def expect(self, call: Call, ahead_s: float) -> WaitEstimate:
+        """Returns a wait estimate for a queued request."""
         now = time.monotonic()
         left_s = call.ends - now
         servers = self._registry.servers_of(call.service)
         if not servers:
-            # The next word of the store may bring some; a short wait costs
-            # the caller less than coming back.
-            return Prospect(now - call.arrived, 0.0, call.route.objective_s)
+            # The next update of the registry may bring servers; a short wait
+            # costs the caller less than a retry.
+            return WaitEstimate(now - call.arrived, 0.0, call.route.objective_s)
         servers = self._unlimited(servers)
         if not servers:
-            return self._expect_grant(call, ahead_s, left_s)
+            return self._expect_limited(call, ahead_s, left_s)
         if call.prompt is None:
-            ahead = ahead_s * self._instances() / _slots(servers)
-            return Prospect(ahead, call.route.objective_s / 3, left_s)
-        outlook = self._outlook(call.service, call.route.name, servers, now)
-        ahead = outlook.reading_s + ahead_s * outlook.share
+            queue_delay_s = ahead_s * self._instances() / _slots(servers)
+            return WaitEstimate(
+                queue_delay_s, call.route.objective_s / 3, left_s
+            )
+        queue = self._kind_queue(call.service, call.route.name, servers, now)
+        queue_delay_s = queue.prefill_delay_s + ahead_s * queue.share
         first_s = self._speeds(call.service).first_s(call.prompt.own_tokens)
-        own_s = first_s + self._guess(call).output * outlook.token_s
+        own_s = first_s + self._output_estimate(call).output * queue.token_s
         patience_s = call.arrived + call.route.patience_s - now
-        return Prospect(ahead, own_s, left_s, first_s, patience_s)
+        return WaitEstimate(queue_delay_s, own_s, left_s, first_s, patience_s)
 
-    def _expect_grant(
+    def _expect_limited(
         self, call: Call, ahead_s: float, left_s: float
-    ) -> Prospect:
-        """Returns what to expect where all servers have a limit."""
+    ) -> WaitEstimate:
+        """Returns a wait estimate where every server has a rate limit."""
         servers = self._registry.servers_of(call.service)
         limits = self._allowance.limits
         rate = sum(limits.get(server.id, 0.0) for server in servers)
         busy_s = self.busy_s(call)
-        before = ahead_s / busy_s if busy_s else 0.0
-        turn_s = (1 + before) * self._instances() / max(rate, LEAST_RATE)
-        return Prospect(turn_s, busy_s, left_s)
+        requests_ahead = ahead_s / busy_s if busy_s else 0.0
+        delay_s = (1 + requests_ahead) * self._instances() / max(rate, MIN_RATE)
+        return WaitEstimate(delay_s, busy_s, left_s)
 
     def ahead_s(self, service: str, kind: str, queued_s: float) -> float:
-        """Returns the time until the turn of a new model request.
+        """Returns the expected queueing delay of a new model request.
 
         Args:
             service: Its service.
             kind: Its kind.
-            queued_s: Engine time of the requests of its kind that wait.
+            queued_s: Engine time of the queued requests of its kind.
         """
         servers = self._unlimited(self._registry.servers_of(service))
         if not servers:
             return math.inf
-        outlook = self._outlook(service, kind, servers, time.monotonic())
-        return outlook.reading_s + queued_s * outlook.share
+        queue = self._kind_queue(service, kind, servers, time.monotonic())
+        return queue.prefill_delay_s + queued_s * queue.share
 
-    def _outlook(
+    def _kind_queue(
         self,
         service: str,
         kind: str,
         servers: list[BackendServer],
         now: float,
-    ) -> "_Outlook":
+    ) -> "_KindQueue":
         key = (service, kind)
-        held = self._outlooks.get(key)
-        if held is not None and now - held.at < OUTLOOK_LIFE_S:
+        held = self._kind_queues.get(key)
+        if held is not None and now - held.at < WAIT_ESTIMATE_MAX_AGE_S:
             return held
         names = [item.id for item in self._group(service, kind, servers)]
-        # Where runs can be moved, a long answer goes on where nothing is read.
+        # If streams can be moved, a long answer can continue at any server,
+        # also one without prefill.
         engine = self.engine_of(service)
         moves = engine is not None and engine.moves
-        going_on = [item.id for item in servers] if moves else names
+        decoding = [item.id for item in servers] if moves else names
         unread = sum(self.workload.load(name).unread for name in names)
         speeds = self._speeds(service)
-        seen = (self.paces.token_s(name, now) for name in going_on)
-        self._outlooks[key] = _Outlook(
+        token_times = (self.paces.token_s(name, now) for name in decoding)
+        self._kind_queues[key] = _KindQueue(
             now,
             speeds.reading_s(unread) / len(names),
             self._instances() / len(names),
-            min(pace or speeds.step_s for pace in seen),
+            min(
+                seconds_per_token or speeds.step_s
+                for seconds_per_token in token_times
+            ),
         )
-        return self._outlooks[key]
+        return self._kind_queues[key]
 
     def gone(self, server: str) -> None:
-        """Forgets a server that has ended."""
+        """Deletes all state about a server that has ended."""
         for health in self._health.values():
             health.forget(server)
-        self._warm.forget(server)
+        self._prefixes.forget(server)
         if self._caches is not None:
             self._caches.forget(server)
         self.paces.forget(server)
-        self._silences.forget(server)
+        self._response_monitor.forget(server)
 
     def tick(self, now: float) -> None:
-        """Moves the running means on and looks at the splits."""
+        """Updates moving averages and, at intervals, the server split."""
         self.workload.expire(now)
-        if now - self._split_at < SPLIT_EVERY_S:
+        if now - self._splits_updated_at < SPLIT_INTERVAL_S:
             return
-        self._split_at = now
+        self._splits_updated_at = now
         self.meter.tick(now)
-        self._split(now)
+        self._update_splits(now)
 
     def own_demand(self) -> list[KindDemand]:
-        """Returns what this instance's callers bring, for the others."""
-        return self.meter.demand(self._need_s)
+        """Returns the demand of this instance's callers, to be shared."""
+        return self.meter.demand(self._need_time_s)
 
-    def _need(self, call: Call) -> Need:
-        output = self._guess(call).output
+    def _resource_need(self, call: Call) -> ResourceNeed:
+        output = self._output_estimate(call).output
         prompt = call.prompt
-        return Need(prompt.own_tokens, output, prompt.tokens + output)
+        return ResourceNeed(prompt.own_tokens, output, prompt.tokens + output)
 
-    def _need_s(self, service: str, need: Need) -> float:
+    def _need_time_s(self, service: str, need: ResourceNeed) -> float:
         engine = self.engine_of(service)
         if engine is None:
             return 0.0
@@ -662,7 +688,7 @@
             engine, need.unread, need.output, need.memory
         )
 
-    def _guess(self, call: Call) -> Guess:
+    def _output_estimate(self, call: Call) -> Guess:
         kind = call.route.name
         prompt = call.prompt
         most = prompt.max_output
@@ -671,16 +697,17 @@
             self.lengths.typical(kind, most),
         )
 
-    def _split(self, now: float) -> None:
+    def _update_splits(self, now: float) -> None:
         self.demand.hear("", self.own_demand(), now)
         catalog = self._registry.catalog
         for name in catalog.services if catalog else ():
             there = self._registry.servers_of(name)
-            # What a server with a limit gets is too little to count on.
-            counted = self._unlimited(there) or there
-            servers = [item.id for item in counted]
+            # Servers with a rate limit get too little traffic to count as
+            # capacity.
+            capacity = self._unlimited(there) or there
+            servers = [item.id for item in capacity]
             if self.sees_steps:
-                self._note_steps(name, servers, now)
+                self._record_steps(name, servers, now)
             demand = self.demand.total(name, now)
             self._kinds[name] = demand
             split = self._splits.setdefault(name, Split())
@@ -690,26 +717,28 @@
     def note_step(
         self, service: str, server: str, step_s: float, now: float
     ) -> None:
-        """Takes the time of a step of a calm engine for its own pace.
+        """Records an engine's step time if its prefill backlog is small.
 
-        Not of one that reads a long prompt: its streams show the reading,
-        which is counted by itself. At the start of a burst all engines read,
-        and short requests would be taken to need most of the servers.
+        With a long prompt pending, the time per token includes prefill, which
+        the model counts separately. At the start of a burst all engines
+        prefill, and short requests would appear to need most of the servers.
 
         Args:
             service: The service.
             server: The engine.
             step_s: Time between two of its tokens.
-            now: Steady time.
+            now: Monotonic time.
         """
         load = self.workload.load(server)
-        reading_s = self._speeds(service).reading_s(load.unread)
-        if not load.running or reading_s > CALM_S:
+        prefill_s = self._speeds(service).reading_s(load.unread)
+        if not load.running or prefill_s > UNDISTURBED_PREFILL_S:
             return
         sample = EngineSample(service, False, load.running, step_s)
-        self.engines.see(sample, now)
+        self.engines.add_local_sample(sample, now)
 
-    def _note_steps(self, service: str, servers: list[str], now: float) -> None:
+    def _record_steps(
+        self, service: str, servers: list[str], now: float
+    ) -> None:
         for name in servers:
             step_s = self.paces.undisturbed_s(name)
             if step_s is not None:
@@ -724,9 +753,9 @@
         return group or servers
 
 
-def _some(options: list[Option]) -> list[Option]:
-    # When every server has failed of late, one that may fail is better than
-    # none: refusing everything would turn a short fault into an outage.
+def _unblock_if_all_blocked(options: list[Option]) -> list[Option]:
+    # When every server has failed recently, one that may fail again is better
+    # than none: refusing everything would turn a short fault into an outage.
     if options and all(item.blocked for item in options):
         return [dataclasses.replace(item, blocked=False) for item in options]
     return options
--- a/src/jasminerelay/enginemodel.py
+++ b/src/jasminerelay/enginemodel.py
@@ -1,12 +1,12 @@
-"""How fast a service's engines read prompts and make tokens, as observed.
-
-Pure. Engines of different makes differ by factors of two to four in what they
-read in a second, in the time of a step and in how that grows with the requests
-that run together. Whoever assumes too fast an engine fills it beyond what
-ends in time; whoever assumes too slow a one refuses what would have been
-served. So both are measured on what passes through the instances: the time to
-a first event against the tokens that had to be read before it, and the time
-between events against the number of requests beside it.
+"""Models the prefill and decode speed of a service's engines from measurements.
+
+Pure. Engines of different makes differ by factors of two to four in prefill
+throughput, in the time of a decode step and in how that time grows with the
+batch size. An estimate that is too fast overloads the engines; one that is too
+slow refuses requests that could have been served. Both speeds are therefore
+measured on the requests that pass through the instances: the time to first
+event against the tokens pending prefill before it, and the time between events
+against the number of concurrent requests.
 """
 
 import collections
@@ -18,66 +18,68 @@
 from jasminerelay.catalog import Engine, Route
 from jasminerelay.schema.messages import EngineSample
 
-KEPT_SAMPLES = 48
-"""Samples that a line is drawn through. Pairs of them, whose number goes with
-the square, take a millisecond of the processor."""
+MAX_SAMPLES = 48
+"""Number of samples to which a line is fitted. The number of pairs grows with
+the square; this many take a millisecond of the processor."""
 
-SAMPLE_EVERY_S = 0.5
-"""Least time between two samples once there are enough, so that they cover
-half a minute and not the waits of one overfilled server in the last second."""
+SAMPLE_INTERVAL_S = 0.5
+"""Minimum interval between samples once there are enough, so that they cover
+half a minute and not the delays of one overloaded server in the last second."""
 
-REDRAW_SHARE = 0.25
-"""Part of the samples that must be new before the lines are drawn again."""
+REFIT_SHARE = 0.25
+"""Share of the samples that must be new before the lines are fitted again."""
 
-LEAST_SAMPLES = 6
-"""Samples below which the first guess holds."""
+MIN_SAMPLES = 6
+"""Number of samples below which the initial estimate is used."""
 
-LEAST_SPREAD = 0.4
-"""Part of the largest abscissa by which the samples must differ for a slope to
-be drawn from them; closer ones show mostly their noise."""
+MIN_SPREAD = 0.4
+"""Minimum distance of two samples, as a share of the largest abscissa, for a
+slope between them; closer ones show mostly noise."""
 
-FIRST_READ_SHARE = 0.5
-"""Part of its kind's objective in which a prompt is taken to be read until
-that was measured. Operators set objectives that an idle engine meets; a guess
-on the slow side holds requests back for the first second only, one on the
-fast side overfills the engines at once."""
+INITIAL_PREFILL_SHARE = 0.5
+"""Share of its kind's objective that prefill of a prompt is assumed to take
+until it is measured. Operators set objectives that an idle engine meets; a slow
+estimate holds requests back for the first second only, a fast one overloads the
+engines at once."""
 
-FIRST_EVENT_SHARE = 0.15
-"""Part of the shortest objective that a first event is taken to need beside
-the reading, until measured."""
+INITIAL_FIRST_EVENT_SHARE = 0.15
+"""Share of the shortest objective that a first event is assumed to take in
+addition to prefill, until measured."""
 
-FIRST_STEP_SHARE = 0.25
-"""Part of the longest pause allowed between two events that an event is taken
-to need, until measured."""
+INITIAL_STEP_SHARE = 0.25
+"""Share of the longest pause allowed between two events that an event is
+assumed to take, until measured."""
 
 BATCH_GROWTH = 0.5
-"""By what part of itself a step is taken to grow from an idle engine to one
-whose slots are all used, until the samples show it."""
+"""Relative growth of the step time from an idle engine to one with all slots in
+use that is assumed until the samples show it."""
 
-MOST_GROWTH = 4.0
-"""Bound on the measured growth, as a multiple of the assumed one. It is drawn
-from few running requests up to all slots, and noise grows on the way."""
+MAX_GROWTH = 4.0
+"""Upper bound on the measured growth, as a multiple of the assumed one. It is
+extrapolated from few concurrent requests to all slots, which amplifies noise.
+"""
 
 RUN_SHARE = 0.9
-"""Share of a server's slots that is used. The rest takes what other instances
-send before their words arrive; what finds no slot preempts or queues there. An
-engine that turns too slow for long answers is found by its pace."""
+"""Share of a server's slots that is used. The rest absorbs requests that other
+instances send before their load reports arrive; a request without a slot
+preempts others or queues there. An engine that gets too slow for long answers
+is detected by its time per token."""
 
-MEMORY_SHARE = 0.92
-"""Share of a server's memory that is promised; lengths are estimates, and a
-full memory preempts running requests."""
+CACHE_SHARE = 0.92
+"""Share of a server's KV cache that is allocated; output lengths are estimates,
+and a full cache preempts running requests."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Speeds:
-    """What a service's usual engine does in a given time.
+    """Typical performance of a service's engines.
 
     Attributes:
-        read_token_s: Seconds to read one prompt token.
-        first_event_s: Time to a first event beside the reading.
-        step_s: Time of a step, which makes a token for each running request,
-            in an engine that has nothing else to do.
-        step_run_s: What each running request adds to a step.
+        read_token_s: Time in seconds to prefill one prompt token.
+        first_event_s: Time to a first event in addition to prefill.
+        step_s: Time of a decode step, which makes one token for each running
+            request, at an otherwise idle engine.
+        step_run_s: Time that each running request adds to a step.
     """
 
     read_token_s: float
@@ -86,30 +88,30 @@
     step_run_s: float
 
     def reading_s(self, tokens: float) -> float:
-        """Returns how long an engine reads some tokens."""
+        """Returns the prefill time of some tokens."""
         return tokens * self.read_token_s
 
     def first_s(self, tokens: float) -> float:
-        """Returns the time to a first event behind some tokens to read."""
+        """Returns the time to first event with some tokens to prefill."""
         return self.first_event_s + self.reading_s(tokens)
 
     def token_s(self, running: float) -> float:
-        """Returns the time between tokens beside some running requests."""
+        """Returns the time per token with some concurrent requests."""
         return self.step_s + self.step_run_s * running
 
     def busy_s(
         self, engine: Engine, unread: int, output: int, memory: int
     ) -> float:
-        """Returns how much of an engine's time a request takes.
+        """Returns how much of an engine's time a request uses.
 
         Args:
-            engine: What the servers can hold.
-            unread: Prompt tokens to read.
-            output: Tokens out.
-            memory: Tokens of memory that the request holds.
+            engine: Capacity of the servers.
+            unread: Prompt tokens to prefill.
+            output: Output tokens.
+            memory: Tokens of KV cache that the request occupies.
         """
-        fitting = engine.cache_tokens * MEMORY_SHARE / max(1, memory)
-        batch = max(1.0, min(engine.slots * RUN_SHARE, fitting))
+        fitting_requests = engine.cache_tokens * CACHE_SHARE / max(1, memory)
+        batch = max(1.0, min(engine.slots * RUN_SHARE, fitting_requests))
         return self.reading_s(unread) + output * self.token_s(batch) / batch
 
 
@@ -120,7 +122,7 @@
 
 
 class EngineModel:
-    """Learns the speeds of one service's engines.
+    """Estimates the performance of one service's engines.
 
     Example:
         >>> model = EngineModel()
@@ -132,132 +134,142 @@
 
     def __init__(self) -> None:
         self._slots = 1
-        self._read_guess_s = 0.0
-        self._first_guess_s = 0.0
-        self._step_guess_s = 0.0
-        self._readings: collections.deque[tuple[float, float]] = (
-            collections.deque(maxlen=KEPT_SAMPLES)
+        self._initial_prefill_token_s = 0.0
+        self._initial_first_event_s = 0.0
+        self._initial_step_s = 0.0
+        self._prefill_samples: collections.deque[tuple[float, float]] = (
+            collections.deque(maxlen=MAX_SAMPLES)
         )
-        self._steps: collections.deque[tuple[float, float]] = collections.deque(
-            maxlen=KEPT_SAMPLES
+        self._step_samples: collections.deque[tuple[float, float]] = (
+            collections.deque(maxlen=MAX_SAMPLES)
         )
-        self._new = 0
-        self._read_at = float("-inf")
-        self._stepped_at = float("-inf")
+        self._unfitted = 0
+        self._last_prefill_sample = float("-inf")
+        self._last_step_sample = float("-inf")
         self._speeds: Speeds | None = None
 
-    def assume(self, engine: Engine, route: Route, tokens: int) -> None:
-        """Takes a request's route and prompt as a first guess.
+    def set_initial_estimate(
+        self, engine: Engine, route: Route, tokens: int
+    ) -> None:
+        """Derives an initial estimate from a request's route and prompt.
 
         Args:
-            engine: What the servers can hold.
-            route: The route; its objectives are taken to be within reach.
+            engine: Capacity of the servers.
+            route: The route; its objectives are assumed to be achievable.
             tokens: Tokens of the prompt.
         """
-        if len(self._readings) >= LEAST_SAMPLES and len(self._steps) >= (
-            LEAST_SAMPLES
+        if (
+            len(self._prefill_samples) >= MIN_SAMPLES
+            and len(self._step_samples) >= MIN_SAMPLES
         ):
             return
         self._slots = max(1, engine.slots)
-        read_s = route.objective_s * FIRST_READ_SHARE / max(1, tokens)
-        first_s = route.objective_s * FIRST_EVENT_SHARE
+        read_s = route.objective_s * INITIAL_PREFILL_SHARE / max(1, tokens)
+        first_s = route.objective_s * INITIAL_FIRST_EVENT_SHARE
         pause_s = route.pause_s or route.objective_s
-        step_s = pause_s * FIRST_STEP_SHARE / max(1, engine.event_tokens)
-        self._read_guess_s = min(self._read_guess_s or read_s, read_s)
-        self._first_guess_s = min(self._first_guess_s or first_s, first_s)
-        self._step_guess_s = min(self._step_guess_s or step_s, step_s)
+        step_s = pause_s * INITIAL_STEP_SHARE / max(1, engine.event_tokens)
+        self._initial_prefill_token_s = min(
+            self._initial_prefill_token_s or read_s, read_s
+        )
+        self._initial_first_event_s = min(
+            self._initial_first_event_s or first_s, first_s
+        )
+        self._initial_step_s = min(self._initial_step_s or step_s, step_s)
         self._speeds = None
 
     def read(self, tokens: int, seconds: float, now: float) -> None:
-        """Takes the time in which a first event came.
+        """Adds a measured time to first event.
 
         Args:
-            tokens: Prompt tokens that were unread at the server when the
-                request was sent, its own included.
-            seconds: Time from the sending to the first event.
-            now: Steady time.
+            tokens: Prompt tokens pending prefill at the server when the request
+                was sent, including its own.
+            seconds: Time from sending to the first event.
+            now: Monotonic time.
         """
-        full = len(self._readings) == KEPT_SAMPLES
-        if full and now - self._read_at < SAMPLE_EVERY_S:
+        full = len(self._prefill_samples) == MAX_SAMPLES
+        if full and now - self._last_prefill_sample < SAMPLE_INTERVAL_S:
             return
-        self._read_at = now
-        self._readings.append((tokens, seconds))
-        self._note_sample(len(self._readings))
+        self._last_prefill_sample = now
+        self._prefill_samples.append((tokens, seconds))
+        self._count_sample(len(self._prefill_samples))
 
     def stepped(self, running: int, token_s: float, now: float) -> None:
-        """Takes the time between tokens at an engine that reads nothing."""
-        full = len(self._steps) == KEPT_SAMPLES
-        if full and now - self._stepped_at < SAMPLE_EVERY_S:
+        """Adds a time per token measured at an engine without prefill."""
+        full = len(self._step_samples) == MAX_SAMPLES
+        if full and now - self._last_step_sample < SAMPLE_INTERVAL_S:
             return
-        self._stepped_at = now
-        self._steps.append((running, token_s))
-        self._note_sample(len(self._steps))
+        self._last_step_sample = now
+        self._step_samples.append((running, token_s))
+        self._count_sample(len(self._step_samples))
 
     def speeds(self) -> Speeds:
         """Returns the present estimate."""
         if self._speeds is None:
-            reading = self._reading_line()
-            step = self._step_line()
+            reading = self._fit_prefill()
+            step = self._fit_steps()
             self._speeds = Speeds(
                 reading.slope, reading.base, step.base, step.slope
             )
         return self._speeds
 
-    def _note_sample(self, kept: int) -> None:
-        self._new += 1
-        if self._new >= kept * REDRAW_SHARE:
-            self._new = 0
+    def _count_sample(self, kept: int) -> None:
+        self._unfitted += 1
+        if self._unfitted >= kept * REFIT_SHARE:
+            self._unfitted = 0
             self._speeds = None
 
-    def _reading_line(self) -> _Line:
-        samples = self._readings
-        if len(samples) < LEAST_SAMPLES:
-            return _Line(self._first_guess_s, self._read_guess_s)
-        line = _quick_line(samples)
+    def _fit_prefill(self) -> _Line:
+        samples = self._prefill_samples
+        if len(samples) < MIN_SAMPLES:
+            return _Line(
+                self._initial_first_event_s, self._initial_prefill_token_s
+            )
+        line = _fit_faster_half(samples)
         if line is not None and line.slope > 0:
             return _Line(max(0.0, line.base), line.slope)
-        # All alike: what belongs to the reading cannot be told from the rest.
+        # With similar prompt sizes the prefill time cannot be separated from
+        # the constant part.
         whole = statistics.median(y / x for x, y in samples)
-        slope = min(whole, self._read_guess_s or whole)
+        slope = min(whole, self._initial_prefill_token_s or whole)
         base = statistics.median(y - slope * x for x, y in samples)
         return _Line(max(0.0, base), slope)
 
-    def _step_line(self) -> _Line:
-        samples = self._steps
-        if len(samples) < LEAST_SAMPLES:
-            return self._grown(self._step_guess_s, 0.0)
+    def _fit_steps(self) -> _Line:
+        samples = self._step_samples
+        if len(samples) < MIN_SAMPLES:
+            return self._line_through(self._initial_step_s, 0.0)
         slope = _median_slope(samples)
         if slope is None:
-            return self._grown(*_center(samples))
+            return self._line_through(*_center(samples))
         base = statistics.median(y - slope * x for x, y in samples)
-        usual = max(base, 0.0) * BATCH_GROWTH / self._slots
-        if base <= 0 or not 0 <= slope <= MOST_GROWTH * usual:
-            return self._grown(*_center(samples))
+        assumed = max(base, 0.0) * BATCH_GROWTH / self._slots
+        if base <= 0 or not 0 <= slope <= MAX_GROWTH * assumed:
+            return self._line_through(*_center(samples))
         return _Line(base, slope)
 
-    def _grown(self, token_s: float, running: float) -> _Line:
-        # The line with the usual growth through one point.
+    def _line_through(self, token_s: float, running: float) -> _Line:
+        # The line through one point with the assumed growth.
         growth = BATCH_GROWTH / self._slots
         base = token_s / (1 + growth * running)
         return _Line(base, base * growth)
 
 
-def _quick_line(samples: Sequence[tuple[float, float]]) -> _Line | None:
-    """Returns the line through the quicker half of the samples.
+def _fit_faster_half(samples: Sequence[tuple[float, float]]) -> _Line | None:
+    """Returns the line fitted to the faster half of the samples.
 
-    Whatever disturbs a sample makes it longer: a prompt ahead that was not
-    known of, a more urgent one that came later, a server that is slow. Under
-    a burst more than half are disturbed, which a median follows.
+    Every disturbance makes a sample longer: an unreported prompt ahead, a more
+    urgent request that came later, a slow server. Under a burst more than half
+    of the samples are disturbed, and a median would follow them.
     """
     slope = _median_slope(samples)
     if slope is None:
         return None
     ranked = sorted(samples, key=lambda sample: sample[1] - slope * sample[0])
-    quick = ranked[: max(LEAST_SAMPLES, len(ranked) // 2)]
-    slope = _median_slope(quick)
+    fastest = ranked[: max(MIN_SAMPLES, len(ranked) // 2)]
+    slope = _median_slope(fastest)
     if slope is None:
         return None
-    return _Line(statistics.median(y - slope * x for x, y in quick), slope)
+    return _Line(statistics.median(y - slope * x for x, y in fastest), slope)
 
 
 def _center(samples: Iterable[tuple[float, float]]) -> tuple[float, float]:
@@ -268,18 +280,19 @@
 def _median_slope(samples: Sequence[tuple[float, float]]) -> float | None:
     """Returns the median slope between samples; None if they are too close.
 
-    A third of the samples may be far off (a server that is slow, a request
-    that waited behind one not known of) before the median follows them, where
-    least squares follow the first. Slopes weigh by their samples' distance.
+    Up to a third of the samples may be outliers (a slow server, a request
+    queued behind an unreported one) before the median follows them, while least
+    squares follows the first. Slopes are weighted by the distance of their
+    samples.
     """
-    largest = max(x for x, _ in samples)
-    least = largest * LEAST_SPREAD
+    max_x = max(x for x, _ in samples)
+    min_distance = max_x * MIN_SPREAD
     slopes = sorted(
         ((y2 - y1) / (x2 - x1), abs(x2 - x1))
         for (x1, y1), (x2, y2) in itertools.combinations(samples, 2)
-        if abs(x2 - x1) > least
+        if abs(x2 - x1) > min_distance
     )
-    if len(slopes) < LEAST_SAMPLES:
+    if len(slopes) < MIN_SAMPLES:
         return None
     half = sum(weight for _, weight in slopes) / 2
     for slope, weight in slopes:
@@ -290,25 +303,25 @@
 
 
 class EngineModels:
-    """The models of all services, and the samples that others are told."""
+    """The models of all services, and samples to send to other instances."""
 
     def __init__(self) -> None:
         self._models: dict[str, EngineModel] = {}
-        self._untold: collections.deque[EngineSample] = collections.deque(
-            maxlen=MOST_TOLD
+        self._unsent: collections.deque[EngineSample] = collections.deque(
+            maxlen=MAX_SAMPLES_PER_MESSAGE
         )
 
     def of(self, service: str) -> EngineModel:
-        """Returns a service's model."""
+        """Returns the model of a service."""
         return self._models.setdefault(service, EngineModel())
 
-    def see(self, sample: EngineSample, now: float) -> None:
-        """Takes a sample seen here."""
+    def add_local_sample(self, sample: EngineSample, now: float) -> None:
+        """Adds a sample measured at this instance."""
         self.hear([sample], now)
-        self._untold.append(sample)
+        self._unsent.append(sample)
 
     def hear(self, samples: Iterable[EngineSample], now: float) -> None:
-        """Takes samples that another instance has seen."""
+        """Adds samples measured at another instance."""
         for item in samples:
             model = self.of(item.service)
             if item.reading:
@@ -317,12 +330,13 @@
                 model.stepped(item.count, item.seconds, now)
 
     def untold(self) -> list[EngineSample]:
-        """Returns what was seen since the last call, for the others."""
-        told = list(self._untold)
-        self._untold.clear()
-        return told
+        """Returns and clears the local samples that were not sent yet."""
+        unsent = list(self._unsent)
+        self._unsent.clear()
+        return unsent
 
 
-MOST_TOLD = 4
-"""Samples that one datagram carries at most. Each instance of six sees some
-ten a second and sends ten datagrams; among dozens each hears a part of all."""
+MAX_SAMPLES_PER_MESSAGE = 4
+"""Maximum number of samples in one datagram. Each of six instances takes some
+ten samples a second and sends ten datagrams; among dozens of instances each
+receives a part of all samples."""
--- a/src/jasminerelay/groups.py
+++ b/src/jasminerelay/groups.py
@@ -1,15 +1,15 @@
-"""Which backend servers of a model service serve which kind of work.
-
-Pattern: an engine reads a long prompt in pieces between the tokens of all
-requests that run beside it, so one long prompt stretches the pauses of every
-stream on its server. A kind with long prompts and one with short pauses that
-share a server make the second one late though no server is full. Load counts
-do not show it; keeping the kinds on servers of their own does.
-
-Every instance computes the same split from the same words: kinds in order of
-their prompts' size, servers in order of their ids, each kind a run of servers
-as long as its share of the work. A boundary that moves by one changes the
-group of one server, so the others keep their caches.
+"""Splits the backend servers of a model service into groups by request kind.
+
+An engine processes a long prompt in chunks between the decode steps of the
+concurrent requests, so one long prompt lengthens the pauses of every stream on
+its server. If a kind with long prompts and one with short allowed pauses share
+a server, the latter misses its objective although no server is full. Load
+counts do not show this; separate servers for each kind prevent it.
+
+Every instance computes the same split from the same demand reports: kinds in
+order of prompt size, servers in order of id, each kind a contiguous range of
+servers proportional to its share of the work. When a boundary moves by one,
+only one server changes its group, so the others keep their caches.
 """
 
 import dataclasses
@@ -18,56 +18,59 @@
 
 from jasminerelay.schema.messages import KindDemand
 
-FLOOR = 0.7
-"""Part of its share by work that each kind has before the ranks are served in
-order. Without it a burst of the highest rank leaves the lowest one next to
-nothing."""
+FLOOR_SHARE = 0.7
+"""Share of its proportional part that each kind gets before the remaining
+servers are assigned by rank. Without it a burst of the highest rank would leave
+the lowest almost none."""
 
-SETTLE = 0.2
-"""Part of a server beyond one half by which a kind's due share must leave its
-present count before a boundary moves; less makes groups flap with each small
-wave."""
+HYSTERESIS = 0.2
+"""Hysteresis, in servers beyond one half, by which a kind's target must differ
+from its present count before a boundary moves; with less, groups flap with
+every small fluctuation."""
 
-RISE_S = 1.0
-FALL_S = 6.0
-"""Time constants with which measured work rises and falls. A burst must be
-followed while it lasts; a lull of a few seconds is not worth cold caches."""
+RISE_TIME_CONSTANT_S = 1.0
+FALL_TIME_CONSTANT_S = 6.0
+"""Time constants of the average when the measured rate rises or falls. A burst
+must be followed while it lasts; a lull of a few seconds is not worth cold
+caches."""
 
-FIRST_RATE = 2.0
-"""Requests a second that a kind is taken to bring until its rate is measured:
-without a guess the first seconds' requests share all servers."""
+INITIAL_RATE = 2.0
+"""Requests per second assumed for a kind until its rate is measured: without an
+assumption the requests of the first seconds would share all servers."""
 
-SIZE_WEIGHT = 0.1
-"""Weight of one request in the running mean of what its kind needs."""
+NEED_WEIGHT = 0.1
+"""Weight of one request in the moving average of its kind's resource needs."""
 
-PEER_DEMAND_LIFE_S = 3.0
-"""How long another instance's word on its demand counts."""
+PEER_DEMAND_MAX_AGE_S = 3.0
+"""Age up to which another instance's demand report is used."""
 
-USE = 0.85
-"""Part of a server that its kind's work may take before it needs another;
-above it waits grow faster than the work."""
+TARGET_UTILISATION = 0.85
+"""Target utilisation of a server by its kind; above it, queueing delays grow
+faster than the load."""
 
-IDLE_WORK = 0.01
-"""Work, in servers, under which a kind needs no server of its own."""
+MIN_WORK = 0.01
+"""Work, in servers, below which a kind needs no server of its own."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
-    """What a request needs of an engine, whatever the engine's speed.
+class ResourceNeed:
+    """Resources that a request needs, independent of the engine's speed.
 
     Attributes:
-        unread: Prompt tokens to read, cached parts left out.
-        output: Tokens out.
-        memory: Tokens of memory that it holds.
+        unread: Prompt tokens to prefill, without cached parts.
+        output: Output tokens.
+        memory: Tokens of KV cache that it occupies.
     """
 
     unread: float
     output: float
     memory: float
 
-    def toward(self, other: "Need", weight: float) -> "Need":
-        """Returns this one moved toward another by a weight from 0 to 1."""
-        return Need(
+    def blended_with(
+        self, other: "ResourceNeed", weight: float
+    ) -> "ResourceNeed":
+        """Returns the weighted mean with another one, of weight 0 to 1."""
+        return ResourceNeed(
             self.unread + weight * (other.unread - self.unread),
             self.output + weight * (other.output - self.output),
             self.memory + weight * (other.memory - self.memory),
@@ -75,56 +78,64 @@
 
 
 @dataclasses.dataclass
-class _Meter:
+class _KindMeter:
     rank: int
     rate: float
-    need: Need
+    need: ResourceNeed
     count: int = 0
 
 
 class DemandMeter:
-    """Requests that callers bring to one instance, by service and kind.
+    """Measures the demand at one instance by service and kind.
 
-    They are counted by what they need and not by the time that it takes: what
-    engines do in a given time is learned within seconds, and a sum of times
-    would keep the first guesses for long.
+    It averages resource needs and not engine times: engine speeds are learned
+    within seconds, and an average of times would keep the first estimates for
+    long.
     """
 
     def __init__(self) -> None:
-        self._meters: dict[tuple[str, str], _Meter] = {}
-        self._since: float | None = None
+        self._meters: dict[tuple[str, str], _KindMeter] = {}
+        self._last_tick: float | None = None
 
-    def arrived(self, service: str, kind: str, rank: int, need: Need) -> None:
-        """Notes a request."""
+    def record(
+        self, service: str, kind: str, rank: int, need: ResourceNeed
+    ) -> None:
+        """Records a request."""
         key = (service, kind)
         if key not in self._meters:
-            self._meters[key] = _Meter(rank, FIRST_RATE, need)
+            self._meters[key] = _KindMeter(rank, INITIAL_RATE, need)
         meter = self._meters[key]
         meter.count += 1
-        meter.need = meter.need.toward(need, SIZE_WEIGHT)
+        meter.need = meter.need.blended_with(need, NEED_WEIGHT)
 
     def tick(self, now: float) -> None:
-        """Folds what has come since the last tick into the running means."""
-        if self._since is None:
-            self._since = now
+        """Updates the averages with the requests since the last tick."""
+        if self._last_tick is None:
+            self._last_tick = now
             return
-        span = now - self._since
+        span = now - self._last_tick
         if span <= 0:
             return
-        self._since = now
+        self._last_tick = now
         for meter in self._meters.values():
             rate = meter.count / span
             meter.count = 0
-            constant = RISE_S if rate > meter.rate else FALL_S
+            constant = (
+                RISE_TIME_CONSTANT_S
+                if rate > meter.rate
+                else FALL_TIME_CONSTANT_S
+            )
             meter.rate += (rate - meter.rate) * (1 - math.exp(-span / constant))
 
-    def demand(self, busy_s: Callable[[str, Need], float]) -> list[KindDemand]:
-        """Returns the demand, for this instance and the others.
+    def demand(
+        self, busy_s: Callable[[str, ResourceNeed], float]
+    ) -> list[KindDemand]:
+        """Returns the measured demand by kind, to be reported.
 
-        A kind's name carries its service, which keeps the message flat.
+        The name of a kind includes its service, which keeps the message flat.
 
         Args:
-            busy_s: Says how long a service's engine is busy with a request.
+            busy_s: Returns how long a request occupies an engine of a service.
         """
         found = [
             KindDemand(
@@ -135,46 +146,48 @@
             )
             for (service, kind), meter in self._meters.items()
         ]
-        return [item for item in found if item.work > IDLE_WORK / 10]
+        return [item for item in found if item.work > MIN_WORK / 10]
 
 
 class DemandView:
-    """Demand at all instances, summed."""
+    """Total demand over all instances."""
 
     def __init__(self) -> None:
-        self._words: dict[str, tuple[float, list[KindDemand]]] = {}
+        self._reports: dict[str, tuple[float, list[KindDemand]]] = {}
 
     def hear(
         self, instance: str, demand: Iterable[KindDemand], now: float
     ) -> None:
-        """Takes one instance's word."""
-        self._words[instance] = (now, list(demand))
+        """Replaces the demand report of one instance."""
+        self._reports[instance] = (now, list(demand))
 
     def total(self, service: str, now: float) -> list[KindDemand]:
-        """Returns the demand on a service by kind."""
+        """Returns the total demand on a service by kind."""
         work: dict[str, float] = {}
-        sized: dict[str, float] = {}
+        weighted_size: dict[str, float] = {}
         rank: dict[str, int] = {}
         prefix = f"{service}/"
-        for name, (heard, demand) in list(self._words.items()):
-            if now - heard > PEER_DEMAND_LIFE_S:
-                del self._words[name]
+        for name, (received_at, demand) in list(self._reports.items()):
+            if now - received_at > PEER_DEMAND_MAX_AGE_S:
+                del self._reports[name]
                 continue
             for item in demand:
                 if item.kind.startswith(prefix):
                     kind = item.kind.removeprefix(prefix)
                     work[kind] = work.get(kind, 0.0) + item.work
-                    sized[kind] = sized.get(kind, 0.0) + item.work * item.size
+                    weighted_size[kind] = (
+                        weighted_size.get(kind, 0.0) + item.work * item.size
+                    )
                     rank[kind] = item.rank
         return [
-            KindDemand(kind, total, sized[kind] / total, rank[kind])
+            KindDemand(kind, total, weighted_size[kind] / total, rank[kind])
             for kind, total in sorted(work.items())
-            if total > IDLE_WORK
+            if total > MIN_WORK
         ]
 
 
 class Split:
-    """The present split of one service's servers; moves slowly."""
+    """The present split of one service's servers; changes slowly."""
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
@@ -182,78 +195,89 @@
 
     @property
     def groups(self) -> Mapping[str, tuple[str, ...]]:
-        """Servers of each kind."""
+        """Server ids of each kind."""
         return self._groups
 
     def update(
         self, servers: Sequence[str], demand: Sequence[KindDemand]
     ) -> bool:
-        """Looks at the split; returns whether it has changed.
+        """Recomputes the split; returns whether it has changed.
 
         Args:
             servers: Ids of the servers in use.
             demand: Demand by kind.
         """
         kinds = sorted(demand, key=lambda item: (-item.size, item.kind))
-        due = _due(len(servers), kinds)
-        kept = self._counts
-        valid = set(kept) == set(due) and sum(kept.values()) == len(servers)
-        if not valid or _moved(kept, due):
-            self._counts = _rounded(due, len(servers))
+        targets = _target_counts(len(servers), kinds)
+        present = self._counts
+        valid = set(present) == set(targets) and sum(present.values()) == len(
+            servers
+        )
+        if not valid or _exceeds_hysteresis(present, targets):
+            self._counts = _rounded_counts(targets, len(servers))
         before = self._groups
-        self._groups = _laid_out(
+        self._groups = _contiguous_groups(
             sorted(servers), [item.kind for item in kinds], self._counts
         )
         return self._groups != before
 
     def group(self, kind: str) -> tuple[str, ...]:
-        """Returns the servers of a kind; none for one not seen yet."""
+        """Returns the servers of a kind; empty if it has had no demand."""
         return self._groups.get(kind, ())
 
 
-def _due(count: int, kinds: Sequence[KindDemand]) -> dict[str, float]:
-    """Returns each kind's due part of the servers.
+def _target_counts(count: int, kinds: Sequence[KindDemand]) -> dict[str, float]:
+    """Returns each kind's target number of servers, as a fraction.
 
-    While there is enough for all, spare servers are shared by work. When
-    there is not, the higher ranks get what they need first, but never so
-    much that a kind is left with less than its least part.
+    If there are enough servers for all kinds, spare servers are shared in
+    proportion to the work. If not, kinds of higher rank get what they need
+    first, but every kind keeps its minimum.
     """
     if not kinds or not count:
         return {}
     total = sum(item.work for item in kinds)
-    least = min(1.0, count / len(kinds))
-    due = {
-        item.kind: max(least, FLOOR * count * item.work / total)
+    minimum = min(1.0, count / len(kinds))
+    targets = {
+        item.kind: max(minimum, FLOOR_SHARE * count * item.work / total)
         for item in kinds
     }
-    over = sum(due.values()) / count
-    if over > 1:
-        due = {kind: share / over for kind, share in due.items()}
-    rest = count - sum(due.values())
+    overcommitment = sum(targets.values()) / count
+    if overcommitment > 1:
+        targets = {
+            kind: share / overcommitment for kind, share in targets.items()
+        }
+    rest = count - sum(targets.values())
     for item in sorted(kinds, key=lambda item: item.rank):
-        wanted = max(0.0, item.work / USE - due[item.kind])
-        given = min(wanted, rest)
-        due[item.kind] += given
-        rest -= given
+        wanted = max(0.0, item.work / TARGET_UTILISATION - targets[item.kind])
+        granted = min(wanted, rest)
+        targets[item.kind] += granted
+        rest -= granted
     for item in kinds:
-        due[item.kind] += rest * item.work / total
-    return due
+        targets[item.kind] += rest * item.work / total
+    return targets
 
 
-def _moved(kept: Mapping[str, int], due: Mapping[str, float]) -> bool:
-    return any(abs(due[kind] - kept[kind]) > 0.5 + SETTLE for kind in due)
+def _exceeds_hysteresis(
+    present: Mapping[str, int], targets: Mapping[str, float]
+) -> bool:
+    return any(
+        abs(targets[kind] - present[kind]) > 0.5 + HYSTERESIS
+        for kind in targets
+    )
 
 
-def _rounded(due: Mapping[str, float], count: int) -> dict[str, int]:
-    counts = {kind: int(share + 1e-9) for kind, share in due.items()}
+def _rounded_counts(targets: Mapping[str, float], count: int) -> dict[str, int]:
+    counts = {kind: int(share + 1e-9) for kind, share in targets.items()}
     spare = count - sum(counts.values())
-    order = sorted(due, key=lambda kind: (counts[kind] - due[kind], kind))
+    order = sorted(
+        targets, key=lambda kind: (counts[kind] - targets[kind], kind)
+    )
     for kind in order[:spare]:
         counts[kind] += 1
     return counts
 
 
-def _laid_out(
+def _contiguous_groups(
     servers: Sequence[str], kinds: Sequence[str], counts: Mapping[str, int]
 ) -> dict[str, tuple[str, ...]]:
     groups: dict[str, tuple[str, ...]] = {}
@@ -262,10 +286,10 @@
         end = start + counts.get(kind, 0)
         groups[kind] = tuple(servers[start:end])
         start = end
-    # With fewer servers than kinds some kinds get none; they join the next
-    # one with shorter prompts, or else the last group there is.
-    following: tuple[str, ...] = tuple(servers[-1:])
+    # With fewer servers than kinds some kinds get none; they share the group of
+    # the next kind with shorter prompts, or else the last group.
+    fallback: tuple[str, ...] = tuple(servers[-1:])
     for kind in reversed(kinds):
-        following = groups[kind] or following
-        groups[kind] = following
+        fallback = groups[kind] or fallback
+        groups[kind] = fallback
     return groups
--- a/src/jasminerelay/headbound.py
+++ b/src/jasminerelay/headbound.py
@@ -1,9 +1,9 @@
-"""Bounds what a caller may hold of an instance: a head's bytes, and time.
+"""Limits the size and duration of request heads, and idle connections.
 
-The fast HTTP parser that uvicorn uses keeps header fields without any bound
-and waits for the rest of a head without end, so one caller could fill an
-instance's memory with a head that never ends, or its descriptors with
-connections on which nothing comes.
+The fast HTTP parser that uvicorn uses stores header fields without any limit
+and waits indefinitely for the rest of a head, so one caller could exhaust an
+instance's memory with an endless head, or its file descriptors with idle
+connections.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 
 from jasminerelay import ports
 
-HEAD_S = 10.0
-"""Time in which a head must have come, where the operator sets none: a slow
-mobile link needs some seconds for a large one."""
+HEAD_TIMEOUT_S = 10.0
+"""Default time limit for a request head: a slow mobile link needs some seconds
+for a large one."""
 
-_LATE_ANSWER = (
+_TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\n"
     b"content-type: text/plain; charset=utf-8\r\n"
     b"content-length: 62\r\n"
@@ -31,44 +31,45 @@
 
 @dataclasses.dataclass(frozen=True)
 class HeadBounds:
-    """What a caller may send and how long it may take.
+    """Limits on a caller's request heads and idle connections.
 
     Attributes:
-        head_bytes: Most bytes of a request's head.
-        head_s: Longest time from a head's first byte to its last.
-        idle_s: Longest time that a connection may stay without a request.
+        head_bytes: Maximum size of a request head.
+        head_s: Maximum time from the first byte of a head to its last.
+        idle_s: Maximum time that a connection may be open without a request.
     """
 
     head_bytes: int
-    head_s: float = HEAD_S
+    head_s: float = HEAD_TIMEOUT_S
     idle_s: float = ports.KEEPALIVE_S
 
 
 def bounded(bounds: Callable[[], HeadBounds]) -> type[HttpToolsProtocol]:
-    """Returns a protocol that holds callers to bounds.
+    """Returns a uvicorn protocol class that enforces the limits.
 
-    A head that is too large is answered 400, one that is too slow 408; idle
-    connections are closed.
+    A head that is too large is answered with 400, one that is too slow with
+    408; idle connections are closed.
 
     Args:
-        bounds: Returns the bounds in force; asked anew for each request.
+        bounds: Returns the limits in force; called for each request.
     """
 
     class BoundedProtocol(HttpToolsProtocol):
-        """Counts the bytes of a head, both whole and still unfinished."""
+        """Counts the bytes of a request head, complete or not."""
 
         def __init__(self, *args, **kwargs):
             super().__init__(*args, **kwargs)
             self._in_head = False
-            self._fields = 0
-            self._unfinished = 0
+            self._field_bytes = 0
+            self._received_bytes = 0
             self._bounds = bounds()
-            self._late: asyncio.TimerHandle | None = None
+            self._timeout_timer: asyncio.TimerHandle | None = None
 
         def connection_made(self, transport) -> None:
             super().connection_made(transport)
-            # The server itself begins to count after the first answer only:
-            # a connection on which nothing is ever sent would stay for good.
+            # uvicorn starts its keep-alive timer only after the first response:
+            # a connection on which nothing is ever sent would stay open for
+            # good.
             self.timeout_keep_alive_task = self.loop.call_later(
                 self._bounds.idle_s, self.timeout_keep_alive_handler
             )
@@ -82,23 +83,23 @@
             super().data_received(data)
             if not self._in_head:
                 return
-            self._unfinished += len(data)
-            if self._unfinished > self._bounds.head_bytes:
-                self._refuse()
+            self._received_bytes += len(data)
+            if self._received_bytes > self._bounds.head_bytes:
+                self._reject_too_large()
 
         def on_message_begin(self) -> None:
             self._in_head = True
             self._bounds = bounds()
-            self._late = self.loop.call_later(
-                self._bounds.head_s, self._refuse_late
+            self._timeout_timer = self.loop.call_later(
+                self._bounds.head_s, self._reject_too_slow
             )
             super().on_message_begin()
 
         def on_header(self, name: bytes, value: bytes) -> None:
-            self._fields += len(name) + len(value)
-            if self._fields > self._bounds.head_bytes:
-                # The parser turns it into a 400 and closes the connection.
-                raise httptools.HttpParserError("head above the bound")
+            self._field_bytes += len(name) + len(value)
+            if self._field_bytes > self._bounds.head_bytes:
+                # uvicorn's parser answers 400 and closes the connection.
+                raise httptools.HttpParserError("request head too large")
             super().on_header(name, value)
 
         def on_headers_complete(self) -> None:
@@ -111,27 +112,27 @@
 
         def _head_ended(self) -> None:
             self._in_head = False
-            self._fields = 0
-            self._unfinished = 0
-            if self._late is not None:
-                self._late.cancel()
-                self._late = None
+            self._field_bytes = 0
+            self._received_bytes = 0
+            if self._timeout_timer is not None:
+                self._timeout_timer.cancel()
+                self._timeout_timer = None
 
-        def _refuse(self) -> None:
+        def _reject_too_large(self) -> None:
             if not self.transport.is_closing():
                 self.send_400_response(
                     "The request head is too large; send fewer or shorter"
                     " header fields."
                 )
 
-        def _refuse_late(self) -> None:
-            # A pipelined head may come late behind a request that is still
-            # being answered; its answer would stand where that one's is due.
+        def _reject_too_slow(self) -> None:
+            # A pipelined head may time out while the request before it is still
+            # being answered; a 408 would be written into that response.
             busy = self.cycle is not None and not self.cycle.response_complete
             if self.transport.is_closing():
                 return
             if not busy:
-                self.transport.write(_LATE_ANSWER)
+                self.transport.write(_TIMEOUT_RESPONSE)
                 self.transport.close()
 
     return BoundedProtocol
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -124,7 +124,7 @@
             dispatcher.busy_s,
             dispatcher.reserve,
             dispatcher.first_s,
-            gathers=True,
+            frequent_passes=True,
         )
         self.changed = False
 
--- a/src/jasminerelay/pace.py
+++ b/src/jasminerelay/pace.py
@@ -1,8 +1,8 @@
-"""How fast each engine makes tokens for each of its streams, as seen here.
+"""Measures each engine's time per token on the streams of this instance.
 
-Pure. Reading long prompts slows an engine's tokens far more than the number
-of its requests tells, and reports of it come late. The time between events
-that pass through this instance shows it at once.
+Pure. Prefill of long prompts slows an engine's decode far more than its number
+of requests shows, and reports of it arrive late. The time between the events of
+this instance's streams shows it immediately.
 """
 
 import collections
@@ -11,27 +11,29 @@
 import statistics
 from collections.abc import Iterable, Mapping
 
-MEMORY_S = 1.0
-"""Time over which gaps are averaged: long against one prompt's reading, short
-against an answer."""
+AVERAGING_TIME_S = 1.0
+"""Time constant of the moving average: long compared with the prefill of one
+prompt, short compared with an answer."""
 
-FORGET_S = 5.0
-"""Age at which a pace counts no more; an idle server is fast again."""
+MAX_AGE_S = 5.0
+"""Age above which a measurement is ignored; by then an idle server is fast
+again."""
 
-OWN_FIRST_S = 1.0
-"""Age up to which what passed through this instance goes before what others
-tell, and up to which it is told to them."""
+OWN_MAX_AGE_S = 1.0
+"""Age up to which this instance's measurement is preferred to those of others,
+and is reported to them."""
 
-TOLD_WEIGHT = 0.3
-"""Weight of one other instance's word in the running mean of what is told."""
+REPORT_WEIGHT = 0.3
+"""Weight of one report of another instance in the moving average of the
+reports."""
 
 
 @dataclasses.dataclass(frozen=True)
-class PacesAlike:
-    """Paces of servers alike as of one moment.
+class TokenTimeComparison:
+    """Times per token of comparable servers at one moment.
 
     Attributes:
-        token_s: Seconds per token by server; None if nothing was seen.
+        token_s: Time per token in seconds by server; None if not measured.
         median_s: The median; None if fewer than two are known.
     """
 
@@ -39,111 +41,116 @@
     median_s: float | None
 
     def slowness(self, server: str) -> float:
-        """Returns a server's pace relative to the median; 1 is usual."""
-        own = self.token_s.get(server)
-        if own is None or self.median_s is None:
+        """Returns a server's time per token relative to the median."""
+        measured_s = self.token_s.get(server)
+        if measured_s is None or self.median_s is None:
             return 1.0
-        return own / max(self.median_s, 1e-6)
+        return measured_s / max(self.median_s, 1e-6)
 
 
-UNDISTURBED_SHARE = 0.4
-"""Place among the latest times per token, from the shortest, of the one that
-shows an engine's own step. Prompts that are read meanwhile stretch a part of
-them; the very shortest are events that were held up and came together."""
+UNDISTURBED_QUANTILE = 0.4
+"""Quantile of the latest times per token that is taken as an engine's step
+time. Concurrent prefill lengthens part of the times; the very shortest belong
+to events that were delayed and arrived together."""
 
-LEAST_TIMES = 8
-MOST_TIMES = 64
-"""Times per token between two looks from which on they are judged, and the
-most that are kept."""
+MIN_TIMES = 8
+MAX_TIMES = 64
+"""Minimum number of times per token for an estimate of the step time, and the
+maximum that is kept."""
 
 
-class PaceBook:
-    """Seconds per token of a stream, by server.
+class TokenTimes:
+    """Time per token of streams, by server.
 
-    With many instances each has streams at a few of the engines only. Without
-    the others' words it would take an engine that it has not seen of late for
-    an idle one, and add long answers to one that is too slow to end them.
+    With many instances each has streams at only a few of the engines. Without
+    the reports of others it would assume that an engine that it has not used
+    recently is idle, and send long answers to one that is too slow to finish
+    them.
     """
 
     def __init__(self) -> None:
-        self._paces: dict[str, tuple[float, float]] = {}
-        self._told: dict[str, tuple[float, float]] = {}
+        self._own: dict[str, tuple[float, float]] = {}
+        self._reported: dict[str, tuple[float, float]] = {}
         self._times: dict[str, collections.deque[float]] = {}
 
     def observe(
         self, server: str, tokens: int, seconds: float, now: float
     ) -> None:
-        """Takes the time that a stream's next tokens took."""
+        """Records the time taken by the next tokens of a stream."""
         if tokens <= 0 or seconds < 0:
             return
         sample = seconds / tokens
         times = self._times.get(server)
         if times is None:
-            times = collections.deque(maxlen=MOST_TIMES)
+            times = collections.deque(maxlen=MAX_TIMES)
             self._times[server] = times
         times.append(sample)
-        held = self._paces.get(server)
-        if held is None or now - held[1] > FORGET_S:
-            self._paces[server] = (sample, now)
+        held = self._own.get(server)
+        if held is None or now - held[1] > MAX_AGE_S:
+            self._own[server] = (sample, now)
             return
-        # Weighted by the time it covers: many short gaps after one long one
-        # must not hide it.
-        weight = 1 - math.exp(-seconds / MEMORY_S)
-        self._paces[server] = (held[0] + weight * (sample - held[0]), now)
+        # Weighted by the time that it covers: many short gaps after one long
+        # gap must not hide the long one.
+        weight = 1 - math.exp(-seconds / AVERAGING_TIME_S)
+        self._own[server] = (held[0] + weight * (sample - held[0]), now)
 
     def hear(self, server: str, token_s: float, now: float) -> None:
-        """Takes what another instance has just seen."""
-        held = self._told.get(server)
-        if held is None or now - held[1] > OWN_FIRST_S:
-            self._told[server] = (token_s, now)
+        """Records a recent measurement of another instance."""
+        held = self._reported.get(server)
+        if held is None or now - held[1] > OWN_MAX_AGE_S:
+            self._reported[server] = (token_s, now)
             return
-        mean = held[0] + TOLD_WEIGHT * (token_s - held[0])
-        self._told[server] = (mean, now)
+        mean = held[0] + REPORT_WEIGHT * (token_s - held[0])
+        self._reported[server] = (mean, now)
 
     def own_s(self, server: str, now: float) -> float | None:
-        """Returns what passed here of late, to tell the others."""
-        held = self._paces.get(server)
-        if held is None or now - held[1] > OWN_FIRST_S:
+        """Returns this instance's recent measurement, to be reported."""
+        held = self._own.get(server)
+        if held is None or now - held[1] > OWN_MAX_AGE_S:
             return None
         return held[0]
 
     def token_s(self, server: str, now: float) -> float | None:
-        """Returns seconds per token; None if nothing was seen of late."""
-        held = self._paces.get(server)
-        if held is None or now - held[1] > OWN_FIRST_S:
-            told = self._told.get(server)
-            if told is not None and (held is None or told[1] > held[1]):
-                held = told
-        if held is None or now - held[1] > FORGET_S:
+        """Returns the time per token; None without a recent measurement."""
+        held = self._own.get(server)
+        if held is None or now - held[1] > OWN_MAX_AGE_S:
+            reported = self._reported.get(server)
+            if reported is not None and (held is None or reported[1] > held[1]):
+                held = reported
+        if held is None or now - held[1] > MAX_AGE_S:
             return None
         return held[0]
 
-    def of_alike(self, servers: Iterable[str], now: float) -> "PacesAlike":
-        """Returns the paces of servers alike, as of now."""
-        paces = {name: self.token_s(name, now) for name in servers}
-        seen = [pace for pace in paces.values() if pace is not None]
-        median = statistics.median(seen) if len(seen) >= 2 else None
-        return PacesAlike(paces, median)
+    def compare(
+        self, servers: Iterable[str], now: float
+    ) -> "TokenTimeComparison":
+        """Returns the times per token of comparable servers."""
+        token_times = {name: self.token_s(name, now) for name in servers}
+        measured = [
+            token_s for token_s in token_times.values() if token_s is not None
+        ]
+        median = statistics.median(measured) if len(measured) >= 2 else None
+        return TokenTimeComparison(token_times, median)
 
     def slowness(self, server: str, peers: Iterable[str], now: float) -> float:
-        """Returns the pace relative to the median of servers alike."""
-        return self.of_alike({server, *peers}, now).slowness(server)
+        """Returns the time per token relative to the median of the peers."""
+        return self.compare({server, *peers}, now).slowness(server)
 
     def undisturbed_s(self, server: str) -> float | None:
-        """Returns what a token has taken beside no reading, since last asked.
+        """Returns the time per token without concurrent prefill.
 
-        None if too few tokens came to tell.
+        Covers the tokens since the last call; None if there were too few.
         """
         times = self._times.get(server)
-        if times is None or len(times) < LEAST_TIMES:
+        if times is None or len(times) < MIN_TIMES:
             return None
-        place = int(len(times) * UNDISTURBED_SHARE)
-        found = sorted(times)[place]
+        index = int(len(times) * UNDISTURBED_QUANTILE)
+        found = sorted(times)[index]
         times.clear()
         return found
 
     def forget(self, server: str) -> None:
-        """Drops a server that has ended."""
+        """Deletes the measurements of a server that has ended."""
         self._times.pop(server, None)
-        self._paces.pop(server, None)
-        self._told.pop(server, None)
+        self._own.pop(server, None)
+        self._reported.pop(server, None)
--- a/src/jasminerelay/placing.py
+++ b/src/jasminerelay/placing.py
@@ -1,10 +1,11 @@
-"""Where a request goes now, whether it waits, or whether it is refused.
-
-Pure. A request goes to the server of its group where its first event comes
-soonest, given what is under way there, with two corrections: parts of its
-prompt that a server has read need no reading, and a server never takes more
-at once than it can end in time. What finds no room waits in the instance,
-where a server's crash does not touch it and a more urgent one passes it.
+"""Chooses the server for a request, or decides that it waits.
+
+Pure. A request goes to the server of its group with the earliest expected first
+event, given the load there, with two corrections: parts of the prompt that are
+in a server's KV cache need no prefill, and a server never gets more at once
+than it can finish in time. A request for which no server has capacity waits in
+the instance, where a server crash does not affect it and a more urgent request
+can overtake it.
 """
 
 import dataclasses
@@ -12,120 +13,123 @@
 
 from jasminerelay import rendezvous
 from jasminerelay.catalog import BackendServer, Call, Engine
-from jasminerelay.enginemodel import MEMORY_SHARE, RUN_SHARE, Speeds
+from jasminerelay.enginemodel import CACHE_SHARE, RUN_SHARE, Speeds
 from jasminerelay.workload import Load
 
-UNREAD_LIMIT_S = 0.45
-"""Reading that may lie ahead at a server before others wait in the instance.
-It covers the age of the other instances' words; more only takes the choice
-of order away from the instances."""
+PREFILL_LIMIT_S = 0.45
+"""Pending prefill at a server above which requests wait in the instance. It
+covers the age of the other instances' load reports; a higher limit would only
+take the choice of order away from the instances."""
 
 KNOWN_UNREAD_S = 0.1
-"""The same where all that is sent to the server is known at once. It covers the
-way to the server and back, so that no engine stands idle; what waits longer can
-still be ordered and passed on."""
+"""The same limit where every request sent to the server is known at once. It
+covers the round trip to the server, so that no engine is idle; requests that
+wait in the instance can still be reordered and placed elsewhere."""
 
-SERVICE_SHARE = 2.0
-"""Requests per slot that a plain service's server gets: one running, one
-queued behind it while its answer travels."""
+REQUESTS_PER_SLOT = 2.0
+"""Requests per slot sent to a plain service's server: one running and one
+queued behind it while an answer is in transit."""
 
-REREAD_WEIGHT = 12.0
-"""What reading a shared token again is taken to cost, as a multiple of the time
-that it takes: it takes the engine from everyone who waits there, so a request
-moves away from a warm server only for a delay worth more."""
+RECOMPUTE_WEIGHT = 12.0
+"""Cost of prefilling a shared token again, as a multiple of its prefill time.
+It delays every request queued at the engine, so a request leaves a server that
+has its prefix cached only to avoid a longer delay."""
 
-OVERFLOW_SHARES = (1.0, 0.7, 0.45, 0.25)
-"""Part of a prompt's shared start that is taken to be read already at the
-servers that all instances pick next when the first one is full. Without an
-order for what overflows, each instance picks another server, and each of
-those read the start anew; with a weak one much of the overflow still does."""
+OVERFLOW_CACHED_SHARES = (1.0, 0.7, 0.45, 0.25)
+"""Part of a prompt's shared prefix that is assumed to be cached at the servers
+next in the common order when the first one is full. Without a common order for
+the overflow each instance would pick another server, and each of those would
+prefill the prefix again; with small shares much of the overflow still does."""
 
-SURE_SHARE = 0.25
-"""Part of the tokens to read of which it may be unknown whether they are read
-already, for the time to the first event to be a measure of the engine."""
+MAX_UNKNOWN_SHARE = 0.25
+"""Largest part of a request's prefill whose cache state may be unknown, for its
+time to first event to be used to measure the engine."""
 
 MAX_SLOWNESS = 4.0
-"""Bound on what a measured slowness counts; one stalled answer is no proof
+"""Upper bound on the slowness used in scores; one stalled answer does not prove
 that a server is useless."""
 
-SLOW_SERVER_S = 0.5
-"""Delay that a request takes to stay away from a server that is much slower
-than its peers."""
+SLOW_SERVER_PENALTY_S = 0.5
+"""Delay added to the score of a server that is much slower than its peers."""
 
-FULL_WAIT_S = 0.15
-"""Wait that a server without room is taken to cost: about the time in which
-one of its requests ends or has its prompt read."""
+FULL_SERVER_PENALTY_S = 0.15
+"""Delay added to the score of a server without capacity: about the time in
+which one of its requests ends or completes prefill."""
 
-PATIENCE_SHARE = 0.6
-"""Part of the time left to a request's objective that it may wait for the
-server that has the start of its prompt, while others have room. Reading the
-start again takes more of the engines than the wait takes from the caller."""
+CACHE_WAIT_SHARE = 0.6
+"""Share of the time left to a request's objective that it may wait for the
+server that has its prompt prefix cached, while others have capacity. Prefilling
+the prefix again costs the engines more than the wait costs the caller."""
 
-TAIL_WEIGHT = 0.25
-"""Weight of the time after the first event: the objective is for the first
-event, but a loaded engine makes all its streams slower."""
+DECODE_WEIGHT = 0.25
+"""Weight of the decode time in the score: the objective applies to the first
+event, but a loaded engine slows all its streams."""
 
 SLOW_FACTOR = 2.0
-"""Pace relative to its peers from which on a server counts as slow."""
+"""Slowness relative to its peers at which a server counts as slow."""
 
-ANSWER_SHARE = 0.75
-"""Part of its time limit that a usual answer may take at a server. Each request
-that joins an engine slows all others there; without the bound, engines under a
-burst of long prompts end many answers at their time limit, nearly made."""
+ANSWER_TIME_SHARE = 0.75
+"""Share of its time limit that a typical answer may take at a server. Each
+request added to an engine slows all others there; without the bound, engines
+under a burst of long prompts would end many answers at their time limit, almost
+complete."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Option:
-    """A backend server with what is known of it now.
+    """A backend server and its present state.
 
     Attributes:
         server: The server.
-        load: What all instances have under way there.
-        warm: Leading shared tokens of the prompt that it has read.
-        slowness: Its pace relative to its peers'; 1 is usual.
-        token_s: Seconds per token that its streams take now; None if unknown.
-        blocked: Whether it rests after a failure.
-        known: Whether `warm` is all that it has read; else it may have read
-            more for other instances, and its place in the prompt's order of
-            servers tells how likely that is.
+        load: Load of all instances there.
+        cached_tokens: Leading shared tokens of the prompt that are in its KV
+            cache.
+        slowness: Its time per token relative to its peers'; 1 is typical.
+        token_s: Time per token of its streams in seconds; None if unknown.
+        blocked: Whether it is excluded after a failure.
+        cache_known: Whether the number of cached tokens is exact; otherwise
+            other instances may have sent more of the prefix there, which is the
+            more likely the earlier the server comes in the prompt's order of
+            servers.
     """
 
     server: BackendServer
     load: Load
-    warm: int = 0
+    cached_tokens: int = 0
     slowness: float = 1.0
     token_s: float | None = None
     blocked: bool = False
-    known: bool = False
+    cache_known: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class Placed:
-    """Go to a server.
+    """The decision to send a request to a server.
 
     Attributes:
         server: The server.
-        unread: Prompt tokens that it has to read.
-        memory: Tokens of memory that the request takes there.
-        sure: Whether most of `unread` is known and not assumed.
-        source: Server from which it copies the start of the prompt that it
-            lacks, if that server has it.
+        unread: Prompt tokens to prefill there.
+        memory: Tokens of KV cache that the request needs there.
+        prefill_known: Whether the cache state of most of the tokens to prefill
+            is known and not assumed.
+        source: Server from which it copies the missing prompt prefix, if that
+            server has it.
     """
 
     server: BackendServer
     unread: int
     memory: int
-    sure: bool = False
+    prefill_known: bool = False
     source: BackendServer | None = None
 
 
 @dataclasses.dataclass(frozen=True)
 class Wait:
-    """Wait in the instance.
+    """The decision to let a request wait in the instance.
 
     Attributes:
-        why: What there is none of.
-        full: Whether no server of its kind has room.
+        why: Which resource is lacking.
+        full: Whether no server of its kind has capacity.
     """
 
     why: str
@@ -134,11 +138,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Guess:
-    """What is expected of a model request.
+    """Expected output length of a model request.
 
     Attributes:
-        output: Tokens out.
-        typical: Tokens out of a usual request of its kind.
+        output: Expected output tokens of the request.
+        typical: Output tokens of a typical request of its kind.
     """
 
     output: int
@@ -150,60 +154,67 @@
     engine: Engine,
     speeds: Speeds,
     options: Sequence[Option],
-    guess: Guess,
+    estimate: Guess,
     now: float,
 ) -> Placed | Wait:
     """Places a model request on one of its group's servers.
 
     Args:
         call: The request.
-        engine: What the servers can hold.
-        speeds: What the servers usually do in a given time.
+        engine: Capacity of the servers.
+        speeds: Typical performance of the servers.
         options: The servers.
-        guess: What is expected of the request.
-        now: Steady time.
+        estimate: Expected output length of the request.
+        now: Monotonic time.
     """
-    open_options = [item for item in options if not item.blocked]
-    if not open_options:
-        return Wait("no server in use")
-    home, *following = _homes(call, open_options)
-    holders = _holders(open_options, [home, *following])
+    candidates = [item for item in options if not item.blocked]
+    if not candidates:
+        return Wait("service has no usable server")
+    first_choice, *next_choices = _preference_order(call, candidates)
+    prefix_holders = _likely_prefix_holders(
+        candidates, [first_choice, *next_choices]
+    )
     scored = [
-        _score(call, engine, speeds, item, home, holders, guess)
-        for item in open_options
+        _score(
+            call, engine, speeds, item, first_choice, prefix_holders, estimate
+        )
+        for item in candidates
     ]
-    best = min(scored, key=_seconds)
-    known = all(item.known for item in open_options)
-    if best.room and (known or best.placed.server.id == home):
+    best = min(scored, key=_score_key)
+    all_known = all(item.cache_known for item in candidates)
+    if best.available and (all_known or best.placed.server.id == first_choice):
         return best.placed
     left_s = call.arrived + call.route.objective_s - now
-    if not best.room and best.first_s < left_s * PATIENCE_SHARE:
-        return Wait("the server that has its prompt's start is full")
-    roomy = [item for item in scored if item.room]
-    if not roomy:
-        return Wait("no room at the servers of its group", full=True)
-    worth_s = {}
-    if not known:
-        worth_s = _overflow_worth_s(call, engine, speeds, following)
+    if not best.available and best.first_s < left_s * CACHE_WAIT_SHARE:
+        return Wait("the server with the cached prompt prefix is full")
+    with_capacity = [item for item in scored if item.available]
+    if not with_capacity:
+        return Wait("no capacity at the servers of its group", full=True)
+    order_value_s = {}
+    if not all_known:
+        order_value_s = _order_value_s(call, engine, speeds, next_choices)
     return min(
-        roomy,
-        key=lambda item: item.seconds - worth_s.get(item.placed.server.id, 0.0),
+        with_capacity,
+        key=lambda item: (
+            item.seconds - order_value_s.get(item.placed.server.id, 0.0)
+        ),
     ).placed
 
 
 @dataclasses.dataclass(frozen=True)
 class _Scored:
-    """One server for one request.
+    """Score of one server for one request.
 
     Attributes:
-        placed: The server, with what the request takes there.
-        room: Whether it has room now.
-        first_s: Time to the first event there, waiting for room included.
-        seconds: What going there costs, in seconds; less is better.
+        placed: The placement on this server.
+        available: Whether it has capacity now.
+        first_s: Expected time to the first event there, including the wait for
+            capacity.
+        seconds: Cost of this choice in seconds; lower is better.
     """
 
     placed: Placed
-    room: bool
+    available: bool
     first_s: float
     seconds: float
 
@@ -213,153 +224,173 @@
     engine: Engine,
     speeds: Speeds,
     item: Option,
-    home: str,
-    holders: Sequence[Option],
-    guess: Guess,
+    first_choice: str,
+    prefix_holders: Sequence[Option],
+    estimate: Guess,
 ) -> _Scored:
-    lacked = _lacked(call, item, item.server.id == home)
-    source, copied = _copy(engine, speeds, item, holders, lacked)
-    copy_s = engine.transfer_s(copied)
-    unread = max(1, call.prompt.own_tokens + lacked - copied)
-    memory = call.prompt.tokens + guess.output
-    room = has_room(engine, speeds, item, memory)
-    room = room and not _too_slow(call, item, guess.typical)
+    missing = _missing_tokens(call, item, item.server.id == first_choice)
+    source, copied_tokens = _copy_source(
+        engine, speeds, item, prefix_holders, missing
+    )
+    copy_s = engine.transfer_s(copied_tokens)
+    unread = max(1, call.prompt.own_tokens + missing - copied_tokens)
+    memory = call.prompt.tokens + estimate.output
+    available = has_capacity(engine, speeds, item, memory)
+    available = available and not _too_slow(call, item, estimate.typical)
     first_s = first_event_s(speeds, item, unread)
-    if not room:
-        first_s += FULL_WAIT_S
-    tail_s = guess.output * speeds.token_s(item.load.running)
-    seconds = first_s + TAIL_WEIGHT * tail_s
-    seconds += REREAD_WEIGHT * speeds.reading_s(unread - 1)
-    if copied:
-        seconds += REREAD_WEIGHT * copy_s
+    if not available:
+        first_s += FULL_SERVER_PENALTY_S
+    decode_s = estimate.output * speeds.token_s(item.load.running)
+    seconds = first_s + DECODE_WEIGHT * decode_s
+    seconds += RECOMPUTE_WEIGHT * speeds.reading_s(unread - 1)
+    if copied_tokens:
+        seconds += RECOMPUTE_WEIGHT * copy_s
     if item.slowness >= SLOW_FACTOR:
-        seconds += SLOW_SERVER_S
-    unsure = call.prompt.shared_tokens - item.warm
-    sure = item.known or unsure <= SURE_SHARE * unread
+        seconds += SLOW_SERVER_PENALTY_S
+    unknown_tokens = call.prompt.shared_tokens - item.cached_tokens
+    prefill_known = (
+        item.cache_known or unknown_tokens <= MAX_UNKNOWN_SHARE * unread
+    )
     placed = Placed(
-        item.server, unread, memory, sure, source.server if source else None
+        item.server,
+        unread,
+        memory,
+        prefill_known,
+        source.server if source else None,
     )
-    return _Scored(placed, room, first_s, seconds)
+    return _Scored(placed, available, first_s, seconds)
 
 
-def has_room(engine: Engine, speeds: Speeds, item: Option, memory: int) -> bool:
-    """Returns whether a server can run a request of some memory now."""
+def has_capacity(
+    engine: Engine, speeds: Speeds, item: Option, memory: int
+) -> bool:
+    """Returns whether a server has capacity for a request now."""
     slots = max(1, int(engine.slots * RUN_SHARE))
     if item.load.running >= slots:
         return False
-    limit_s = KNOWN_UNREAD_S if item.known else UNREAD_LIMIT_S
+    limit_s = KNOWN_UNREAD_S if item.cache_known else PREFILL_LIMIT_S
     if speeds.reading_s(item.load.unread) > limit_s:
         return False
     if not item.load.running:
-        # Even one that is larger than the share must run somewhere.
+        # A request that exceeds the cache share must run somewhere, too.
         return True
-    return item.load.memory + memory <= engine.cache_tokens * MEMORY_SHARE
+    return item.load.memory + memory <= engine.cache_tokens * CACHE_SHARE
 
 
-def calm(options: Sequence[Option], tokens: float) -> list[Option]:
-    """Returns the servers that have no more than some tokens to read."""
+def with_prefill_at_most(
+    options: Sequence[Option], tokens: float
+) -> list[Option]:
+    """Returns the servers with at most `tokens` pending prefill."""
     return [item for item in options if item.load.unread <= tokens]
 
 
 def place_plain(
     call: Call, options: Sequence[Option], zone: str
 ) -> Placed | Wait:
-    """Places a plain request on the server with most room."""
+    """Places a plain request on the least loaded server."""
     usable = [
         item
         for item in options
         if not item.blocked
-        and item.load.running < SERVICE_SHARE * max(1, item.server.slots)
+        and item.load.running < REQUESTS_PER_SLOT * max(1, item.server.slots)
     ]
     if not usable:
-        return Wait("no room at the service's servers")
+        return Wait("no capacity at the service's servers")
 
-    # Ties are broken by the request's id: by the servers' own order all
-    # instances would send their ties to the same one.
+    # Ties are broken by the request's id: by the order of the servers' ids all
+    # instances would send their ties to the same server.
     ranks = rendezvous.rank(call.id, [item.server.id for item in usable])
 
     def score(item: Option) -> tuple[float, bool, int]:
         busy = (item.load.running + 1) / max(1, item.server.slots)
-        slow = busy * min(item.slowness, MAX_SLOWNESS)
-        away = item.server.zone != zone
-        return (round(slow, 2), away, ranks.index(item.server.id))
+        weighted = busy * min(item.slowness, MAX_SLOWNESS)
+        other_zone = item.server.zone != zone
+        return (round(weighted, 2), other_zone, ranks.index(item.server.id))
 
     return Placed(min(usable, key=score).server, 0, 0)
 
 
 def first_event_s(speeds: Speeds, item: Option, unread: int) -> float:
-    """Returns the time to the first event of a request sent now."""
-    reading_s = speeds.reading_s(item.load.unread + unread)
-    return speeds.first_event_s + reading_s * item.slowness
+    """Returns the expected time to the first event of a request sent now."""
+    prefill_s = speeds.reading_s(item.load.unread + unread)
+    return speeds.first_event_s + prefill_s * item.slowness
 
 
 def _too_slow(call: Call, item: Option, typical_output: int) -> bool:
-    # By the usual answer of the kind, not by this one: a long one would find
-    # every server too slow, however idle.
+    # Uses the typical output of the kind: a long request would find every
+    # server too slow, even an idle one.
     if item.token_s is None or not item.load.running:
         return False
-    limit_s = call.route.timeout_s * ANSWER_SHARE
+    limit_s = call.route.timeout_s * ANSWER_TIME_SHARE
     return typical_output * item.token_s > limit_s
 
 
-def _seconds(item: _Scored) -> tuple[float, str]:
+def _score_key(item: _Scored) -> tuple[float, str]:
     return (item.seconds, item.placed.server.id)
 
 
-def _homes(call: Call, options: Sequence[Option]) -> list[str]:
-    """Returns the order in which all instances pick servers for a start."""
+def _preference_order(call: Call, options: Sequence[Option]) -> list[str]:
+    """Returns the servers in the order in which all instances prefer them."""
     shared = call.prompt.shared
     key = shared[-1].id if shared else call.id
     return rendezvous.rank(key, [item.server.id for item in options])
 
 
-def _overflow_worth_s(
-    call: Call, engine: Engine, speeds: Speeds, following: Sequence[str]
+def _order_value_s(
+    call: Call, engine: Engine, speeds: Speeds, next_choices: Sequence[str]
 ) -> dict[str, float]:
-    """Returns what the order of overflow is worth, by server."""
+    """Returns the value in seconds of following the common order, by server."""
     shared = call.prompt.shared_tokens
-    lacking_s = min(speeds.reading_s(shared), engine.transfer_s(shared))
-    shared_s = REREAD_WEIGHT * lacking_s
-    pairs = zip(following, OVERFLOW_SHARES, strict=False)
-    return {name: part * shared_s for name, part in pairs}
+    fetch_s = min(speeds.reading_s(shared), engine.transfer_s(shared))
+    prefix_value_s = RECOMPUTE_WEIGHT * fetch_s
+    pairs = zip(next_choices, OVERFLOW_CACHED_SHARES, strict=False)
+    return {name: part * prefix_value_s for name, part in pairs}
 
 
-def _holders(options: Sequence[Option], ranked: Sequence[str]) -> list[Option]:
-    """Returns the two likeliest to have the start, the first one first.
+def _likely_prefix_holders(
+    options: Sequence[Option], ranked: Sequence[str]
+) -> list[Option]:
+    """Returns the two likeliest holders of the cached prefix, best first.
 
-    Who was seen to read it goes before who is picked first for it. One that
-    has not got it after all costs a question between two servers.
+    A server to which the prefix was sent comes before the first one in the
+    common order. If the source no longer has the prefix, that costs one request
+    between two servers.
     """
-    places = {name: place for place, name in enumerate(ranked)}
+    positions = {name: place for place, name in enumerate(ranked)}
     return sorted(
-        options, key=lambda item: (-item.warm, places[item.server.id])
+        options,
+        key=lambda item: (-item.cached_tokens, positions[item.server.id]),
     )[:2]
 
 
-def _copy(
+def _copy_source(
     engine: Engine,
     speeds: Speeds,
     item: Option,
-    holders: Sequence[Option],
-    lacked: int,
+    prefix_holders: Sequence[Option],
+    missing: int,
 ) -> tuple[Option | None, int]:
-    """Returns whence a server copies the start of a prompt, and how much.
+    """Returns the source of a prefix copy, and the number of tokens to copy.
 
-    The source is named also where reading is as quick: the server chooses.
+    The source is returned also where prefill is as fast: the server decides.
     """
-    source = next((held for held in holders if held is not item), None)
+    source = next((held for held in prefix_holders if held is not item), None)
     if source is None:
         return None, 0
-    if item.known and source.warm <= item.warm:
+    if item.cache_known and source.cached_tokens <= item.cached_tokens:
         return None, 0
-    gained = source.warm - item.warm if item.known else lacked
-    if engine.transfer_s(gained) >= speeds.reading_s(gained):
+    copy_tokens = (
+        source.cached_tokens - item.cached_tokens
+        if item.cache_known
+        else missing
+    )
+    if engine.transfer_s(copy_tokens) >= speeds.reading_s(copy_tokens):
         return source, 0
-    return source, gained
+    return source, copy_tokens
 
 
-def _lacked(call: Call, item: Option, at_home: bool) -> int:
-    """Returns the shared tokens that a server is taken to lack."""
-    if at_home and not item.known:
+def _missing_tokens(call: Call, item: Option, is_first_choice: bool) -> int:
+    """Returns the shared tokens assumed missing from a server's KV cache."""
+    if is_first_choice and not item.cache_known:
         return 0
-    return max(0, call.prompt.shared_tokens - item.warm)
+    return max(0, call.prompt.shared_tokens - item.cached_tokens)
--- a/src/jasminerelay/silences.py
+++ b/src/jasminerelay/silences.py
@@ -1,114 +1,115 @@
-"""Finds backend servers that have gone silent without a reset.
+"""Detects backend servers that stopped responding without closing connections.
 
-Pure. A server that loses its power or its network answers nothing and resets
-nothing. Requests that may run once wait for it until their time limit, so
-nothing but the silence itself tells, and until then every further request
-that is sent there is lost as well. A server that is silent on all that this
-instance has sent gets no more until it says something.
+Pure. A server that loses power or its network neither answers nor resets its
+connections. Requests that must not be repeated wait for it until their time
+limit, so only the missing responses show the failure, and every further request
+sent there would be lost as well. A server that responds to none of this
+instance's requests gets no more until it responds again.
 """
 
 import dataclasses
 
-QUIET_S = 0.8
-"""Silence after which a server that owes an answer gets no more requests.
-Engines make an event in some tens of milliseconds and read the longest
-prompts in 0.7 s; plain services answer in 0.1 s."""
+UNRESPONSIVE_AFTER_S = 0.8
+"""Time without any response after which a server with open requests gets no
+more. Engines send an event every few tens of milliseconds and prefill the
+longest prompts in 0.7 s; plain services answer in 0.1 s."""
 
-TRY_AGAIN_S = 2.0
-"""How often a silent server is tried with a request after that: one that only
-stood still says nothing before it is asked."""
+RETRY_INTERVAL_S = 2.0
+"""Interval at which an unresponsive server is then tried with one request: a
+server that had only stalled sends nothing until it gets a request."""
 
 
-SILENT_LIFE_S = 0.5
-"""How long an instance's word that a server is silent counts. It is repeated
-five times a second while the silence lasts."""
+REPORT_MAX_AGE_S = 0.5
+"""Age up to which another instance's report of an unresponsive server is used.
+It is repeated five times a second while the server is unresponsive."""
 
 
 @dataclasses.dataclass
-class _Words:
-    heard: float
-    tried: float
+class _Activity:
+    last_response: float
+    last_attempt: float
 
 
-class Silences:
-    """When each server was last sent something, and last heard.
+class ResponseMonitor:
+    """Times of the last request to and the last response from each server.
 
     Example:
-        >>> silences = Silences()
-        >>> silences.sent("s", idle=True, now=0.0)
-        >>> silences.silent("s", running=1, now=0.5)
+        >>> monitor = ResponseMonitor()
+        >>> monitor.record_request("s", idle=True, now=0.0)
+        >>> monitor.silent("s", running=1, now=0.5)
         False
-        >>> silences.silent("s", running=1, now=1.0)
+        >>> monitor.silent("s", running=1, now=1.0)
         True
-        >>> silences.heard("s", 1.1)
-        >>> silences.silent("s", running=1, now=1.2)
+        >>> monitor.record_response("s", 1.1)
+        >>> monitor.silent("s", running=1, now=1.2)
         False
     """
 
     def __init__(self) -> None:
-        self._servers: dict[str, _Words] = {}
+        self._servers: dict[str, _Activity] = {}
 
-    def sent(self, server: str, idle: bool, now: float) -> None:
-        """Notes that a request is sent.
+    def record_request(self, server: str, idle: bool, now: float) -> None:
+        """Records that a request is sent.
 
         Args:
             server: The server.
-            idle: Whether it owed nothing before; its silence counts from now.
-            now: Steady time.
+            idle: Whether it had no open requests before; the time without a
+                response then starts now.
+            now: Monotonic time.
         """
-        words = self._servers.get(server)
-        if words is None or idle:
-            self._servers[server] = _Words(now, now)
+        activity = self._servers.get(server)
+        if activity is None or idle:
+            self._servers[server] = _Activity(now, now)
         else:
-            words.tried = now
+            activity.last_attempt = now
 
-    def heard(self, server: str, now: float) -> None:
-        """Notes that the server said something, whatever it was."""
-        words = self._servers.get(server)
-        if words is not None:
-            words.heard = now
+    def record_response(self, server: str, now: float) -> None:
+        """Records that the server sent some response."""
+        activity = self._servers.get(server)
+        if activity is not None:
+            activity.last_response = now
 
     def silent(self, server: str, running: int, now: float) -> bool:
         """Returns whether a server should get no request now.
 
         Args:
             server: The server.
-            running: Requests of this instance that it has not ended.
-            now: Steady time.
+            running: Number of this instance's open requests there.
+            now: Monotonic time.
         """
-        words = self._servers.get(server)
-        if words is None or not running:
+        activity = self._servers.get(server)
+        if activity is None or not running:
             return False
-        if now - words.heard < QUIET_S:
+        if now - activity.last_response < UNRESPONSIVE_AFTER_S:
             return False
-        return now - words.tried < TRY_AGAIN_S
+        return now - activity.last_attempt < RETRY_INTERVAL_S
 
     def forget(self, server: str) -> None:
-        """Drops a server that has ended."""
+        """Deletes the record of a server that has ended."""
         self._servers.pop(server, None)
 
 
 class ToldSilences:
-    """Servers that instances say owe them a word for too long.
+    """Unresponsive servers, as reported by other instances.
 
-    In place of `Silences`: an owner sends nothing itself, so only those who
-    do can tell.
+    Used by cell owners in place of the local detection: an owner sends no
+    requests itself, so only the instances that do can detect this.
     """
 
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
-    def sent(self, server: str, idle: bool, now: float) -> None:
-        """Ignores a placing; its asker watches the server."""
+    def record_request(self, server: str, idle: bool, now: float) -> None:
+        """Does nothing: the instance that sends the request monitors it."""
 
-    def heard(self, server: str, now: float) -> None:
-        """Notes that a server said something."""
+    def record_response(self, server: str, now: float) -> None:
+        """Records that a server sent some response."""
         del now
         self._until.pop(server, None)
 
     def told(self, server: str, now: float) -> None:
-        """Notes that an instance finds a server silent."""
-        self._until[server] = now + SILENT_LIFE_S
+        """Records that an instance reports a server as unresponsive."""
+        self._until[server] = now + REPORT_MAX_AGE_S
 
     def silent(self, server: str, running: int, now: float) -> bool:
         """Returns whether a server should get no request now."""
@@ -116,5 +117,5 @@
         return now < self._until.get(server, 0.0)
 
     def forget(self, server: str) -> None:
-        """Drops a server that has ended."""
+        """Deletes the report on a server that has ended."""
         self._until.pop(server, None)
--- a/src/jasminerelay/waitingroom.py
+++ b/src/jasminerelay/waitingroom.py
@@ -1,4 +1,4 @@
-"""Requests of one instance that wait for a place at a backend server."""
+"""Queue of one instance's requests that wait for a backend server."""
 
 import collections
 import dataclasses
@@ -9,35 +9,36 @@
 import anyio
 
 from jasminerelay import admission
-from jasminerelay.admission import Prospect
+from jasminerelay.admission import WaitEstimate
 from jasminerelay.catalog import Call
 from jasminerelay.errors import NoRoomError
 from jasminerelay.placing import Placed, Wait
 from jasminerelay.workload import Run
 
-TRIES = 8
-"""Requests of a kind for which a place is looked for in vain before the rest
-is left for the next time. One may wait for a server that is full while the
-next one's has room; but a look takes processor time, and with a long queue
-most looks are in vain."""
+MAX_FAILED_ATTEMPTS = 8
+"""Failed placement attempts per kind in one pass; the rest of the kind is left
+for the next pass. A request may wait for a full server while there is capacity
+for the one behind it, but an attempt takes processor time, and with a long
+queue most attempts fail."""
 
-FULL_TRIES = 4
-"""What a look counts that found no server of the kind with room: the next one
-will hardly find any."""
+FULL_ATTEMPT_COST = 4
+"""Number of attempts that one counts for if it found no server of the kind with
+capacity: the next one would hardly succeed."""
 
 TICK_S = 0.03
-"""How often those who wait are looked at without any event: the other
-instances' words, which make room too, come about as often."""
+"""Interval of placement passes without any event. Load reports of other
+instances, which can also show free capacity, come about as often."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Seat:
-    """A place that a request has.
+    """A server reserved for a request.
 
     Attributes:
-        placed: Where it goes.
-        run: Its entry in the ledger; whoever holds the seat ends it.
-        owner: Instance that decided; "" for this one.
+        placed: The placement.
+        run: The in-flight request in the load records; the holder of the
+            reservation ends it.
+        owner: Instance that made the decision; "" for this one.
     """
 
     placed: Placed
@@ -47,32 +48,32 @@
 
 @dataclasses.dataclass(eq=False)
 class Waiter:
-    """One request that waits.
+    """One queued request.
 
     Attributes:
         call: The request.
-        avoid: Servers that it must not go to.
+        avoid: Servers that it must not use.
         busy_s: Engine time that it needs.
-        first_s: Time from its place to its first event.
-        settled: Is told once there is a seat or a refusal.
-        seat: Where it goes, once known.
-        refused: Why it was refused, if it was.
+        first_s: Expected time from its placement to its first event.
+        settled: Called once when the request is placed or refused.
+        seat: The reservation, once there is one.
+        refused: The error, if it was refused.
     """
 
     call: Call
     avoid: frozenset[str]
     busy_s: float
     first_s: float = 0.0
-    settled: Callable[["Waiter"], None] = lambda waiter: None
+    settled: Callable[["Waiter"], None] = lambda entry: None
     seat: Seat | None = None
     refused: NoRoomError | None = None
 
     def order(self, now: float) -> tuple[int, int, bool, float]:
-        """Returns its place in the order in which places are given.
+        """Returns its sort key in the queue; the lowest is placed first.
 
-        Rank first, and its route's among requests that rank alike; then those
-        who can still be in time, since an answer that is late anyway loses
-        little by waiting longer; then who came first.
+        First by rank; within a rank by the route's rank; then requests that can
+        still meet their objective, since further delay costs little to one that
+        is late already; then by arrival.
         """
         call = self.call
         late = now + self.first_s - call.arrived > call.route.objective_s
@@ -80,21 +81,21 @@
 
 
 class Room(Protocol):
-    """Where requests get places, whoever decides."""
+    """Interface through which requests are placed, locally or by an owner."""
 
     async def enter(self, call: Call, avoid: frozenset[str]) -> Seat:
-        """Waits for a place; raises NoRoomError if there is none in time."""
+        """Reserves a server; raises NoRoomError if none is free in time."""
 
     def freed(self, service: str) -> None:
-        """Notes that a server of a service has room again."""
+        """Notes that a server of a service has free capacity again."""
 
 
 Place = Callable[[Call, frozenset[str]], Placed | Wait]
-Expect = Callable[[Call, float], Prospect]
+Expect = Callable[[Call, float], WaitEstimate]
 
 
 class WaitingRoom:
-    """Gives places in order, and refuses what has no prospect."""
+    """Places queued requests in order; refuses those that would be late."""
 
     def __init__(
         self,
@@ -104,49 +105,49 @@
         reserve: Callable[[Call, Placed], Run],
         first: Callable[[Call], float] = lambda call: 0.0,
         *,
-        gathers: bool = False,
+        frequent_passes: bool = False,
     ):
-        """Makes an empty room.
+        """Creates an empty queue.
 
         Args:
-            place: Finds a place now.
-            expect: Says what to expect, given the engine time ahead.
-            busy: Says how long a request keeps an engine busy.
-            reserve: Notes a place as taken, before anything else is placed.
-            first: Says how long a request's first event takes once it has a
-                place.
-            gathers: Whether `look` is called every few milliseconds, so that
-                a request behind others of its kind need not be looked at by
-                itself.
+            place: Chooses a server now, or decides that the request must wait.
+            expect: Returns the wait estimate, given the engine time queued
+                ahead.
+            busy: Returns how long a request occupies an engine.
+            reserve: Records a placement before anything else is placed.
+            first: Returns the expected time from placement to the first event.
+            frequent_passes: Whether placement passes run every few
+                milliseconds, so that a request behind others of its kind needs
+                no pass of its own.
         """
         self._place = place
         self._expect = expect
-        self._busy = busy
+        self._busy_time = busy
         self._reserve = reserve
-        self._first = first
-        self._gathers = gathers
-        self._waiting: list[Waiter] = []
-        self._wake = anyio.Event()
+        self._first_event_time = first
+        self._frequent_passes = frequent_passes
+        self._queue: list[Waiter] = []
+        self._not_empty = anyio.Event()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queue)
 
     async def enter(self, call: Call, avoid: frozenset[str]) -> Seat:
-        """Waits for a place.
+        """Waits for a server.
 
         Raises:
-            NoRoomError: if there will be none in time.
+            NoRoomError: if no server is free in time.
         """
         done = anyio.Event()
-        waiter = self.admit(call, avoid, lambda waiter: done.set())
+        entry = self.admit(call, avoid, lambda entry: done.set())
         try:
             await done.wait()
         except BaseException:
-            self.withdraw(waiter)
+            self.withdraw(entry)
             raise
-        if waiter.refused is not None:
-            raise waiter.refused
-        return waiter.seat
+        if entry.refused is not None:
+            raise entry.refused
+        return entry.seat
 
     def admit(
         self,
@@ -154,103 +155,106 @@
         avoid: frozenset[str],
         settled: Callable[[Waiter], None],
     ) -> Waiter:
-        """Takes a request that needs a place.
+        """Adds a request to the queue.
 
         Args:
             call: The request.
-            avoid: Servers that it must not go to.
-            settled: Is told once, perhaps at once, when there is a seat or
-                a refusal.
+            avoid: Servers that it must not use.
+            settled: Called once, perhaps immediately, when the request is
+                placed or refused.
         """
-        waiter = Waiter(
-            call, avoid, self._busy(call), self._first(call), settled
+        entry = Waiter(
+            call,
+            avoid,
+            self._busy_time(call),
+            self._first_event_time(call),
+            settled,
         )
-        behind = self._gathers and any(
-            item.call.route.name == call.route.name for item in self._waiting
+        behind = self._frequent_passes and any(
+            item.call.route.name == call.route.name for item in self._queue
         )
-        self._waiting.append(waiter)
+        self._queue.append(entry)
         if not behind:
-            self._pump(call.service)
-        if waiter in self._waiting:
-            self._wake.set()
-        return waiter
+            self._place_queued(call.service)
+        if entry in self._queue:
+            self._not_empty.set()
+        return entry
 
-    def withdraw(self, waiter: Waiter) -> None:
-        """Forgets a request whose caller left or asked elsewhere.
+    def withdraw(self, entry: Waiter) -> None:
+        """Removes a request that was cancelled or placed elsewhere.
 
-        Its place may just have been found. A run that nobody ends would hold
-        room at the server for good.
+        It may have been placed just before. An in-flight request that is never
+        ended would occupy capacity at the server for good.
         """
-        if waiter in self._waiting:
-            self._waiting.remove(waiter)
-        if waiter.seat is not None:
-            waiter.seat.run.end()
+        if entry in self._queue:
+            self._queue.remove(entry)
+        if entry.seat is not None:
+            entry.seat.run.end()
 
     def freed(self, service: str) -> None:
-        """Notes that a server of a service has room again."""
-        if self._waiting:
-            self._pump(service)
+        """Notes that a server of a service has free capacity again."""
+        if self._queue:
+            self._place_queued(service)
 
     def queued_s(self, kind: str) -> float:
-        """Returns the engine time that those of one kind need who wait."""
+        """Returns the total engine time of the queued requests of a kind."""
         return sum(
-            item.busy_s
-            for item in self._waiting
-            if item.call.route.name == kind
+            item.busy_s for item in self._queue if item.call.route.name == kind
         )
 
     async def run(self) -> None:
-        """Looks at those who wait until cancelled."""
+        """Runs placement passes until cancelled."""
         while True:
-            if not self._waiting:
-                self._wake = anyio.Event()
-                await self._wake.wait()
+            if not self._queue:
+                self._not_empty = anyio.Event()
+                await self._not_empty.wait()
             await anyio.sleep(TICK_S)
             self.look()
 
     def look(self) -> None:
-        """Looks for places for all who wait."""
-        for service in {item.call.service for item in self._waiting}:
-            self._pump(service)
+        """Runs a placement pass over all queued requests."""
+        for service in {item.call.service for item in self._queue}:
+            self._place_queued(service)
 
-    def _pump(self, service: str) -> None:
+    def _place_queued(self, service: str) -> None:
         now = time.monotonic()
-        waiting = [x for x in self._waiting if x.call.service == service]
+        waiting = [x for x in self._queue if x.call.service == service]
         waiting.sort(key=lambda item: item.order(now))
-        tries: collections.Counter[str] = collections.Counter()
-        ahead_s: dict[str, float] = {}
+        failed_attempts: collections.Counter[str] = collections.Counter()
+        queued_ahead_s: dict[str, float] = {}
         for item in waiting:
             kind = item.call.route.name
-            if tries[kind] < TRIES:
+            if failed_attempts[kind] < MAX_FAILED_ATTEMPTS:
                 placed = self._place(item.call, item.avoid)
                 if isinstance(placed, Placed):
-                    seat = Seat(placed, self._reserve(item.call, placed))
-                    self._settle(item, seat=seat)
+                    reservation = Seat(placed, self._reserve(item.call, placed))
+                    self._settle(item, reservation=reservation)
                     continue
-                tries[kind] += FULL_TRIES if placed.full else 1
-            before = ahead_s.get(kind, 0.0)
-            prospect = self._expect(item.call, before)
-            if prospect.hopeless:
-                self._settle(item, refused=_no_room(item.call, prospect))
+                failed_attempts[kind] += FULL_ATTEMPT_COST if placed.full else 1
+            work_ahead_s = queued_ahead_s.get(kind, 0.0)
+            estimate = self._expect(item.call, work_ahead_s)
+            if estimate.too_late:
+                self._settle(item, refused=_refusal(item.call, estimate))
                 continue
-            ahead_s[kind] = before + item.busy_s
+            queued_ahead_s[kind] = work_ahead_s + item.busy_s
 
     def _settle(
         self,
         item: Waiter,
-        seat: Seat | None = None,
+        reservation: Seat | None = None,
         refused: NoRoomError | None = None,
     ) -> None:
-        item.seat = seat
+        item.seat = reservation
         item.refused = refused
-        self._waiting.remove(item)
+        self._queue.remove(item)
         item.settled(item)
 
 
-def _no_room(call: Call, prospect: Prospect) -> NoRoomError:
+def _refusal(call: Call, estimate: WaitEstimate) -> NoRoomError:
     spread = (hash(call.id) % 1000) / 1000
     return NoRoomError(
-        f"no room in time: {prospect.ahead_s:.2f} s of work ahead,"
-        f" {prospect.own_s:.2f} s of its own, {prospect.left_s:.2f} s left",
-        retry_s=admission.retry_after_s(prospect, spread),
+        f"no capacity in time: {estimate.queue_delay_s:.2f} s queueing delay,"
+        f" {estimate.service_s:.2f} s service time,"
+        f" {estimate.remaining_s:.2f} s left",
+        retry_s=admission.retry_after_s(estimate, spread),
     )
--- a/src/jasminerelay/workload.py
+++ b/src/jasminerelay/workload.py
@@ -1,9 +1,9 @@
-"""What all instances together have under way at each backend server.
+"""Records the load of all instances at each backend server.
 
-Pure. An instance knows its own requests at once and the others' from their
-words, a fraction of a second late. Servers' own reports are not used: they
-are older still, and every instance that acts on the same one picks the same
-server.
+Pure. An instance knows its own requests immediately and those of the others
+from their load reports, a fraction of a second late. The servers' own reports
+are not used: they are older still, and all instances that act on the same
+report choose the same server.
 """
 
 import collections
@@ -14,24 +14,25 @@
 
 from jasminerelay.schema.messages import ServerLoad
 
-PEER_WORD_LIFE_S = 3.0
-"""How long another instance's word counts. A dead one's requests end within
-this time, since its connections close; a shorter life would empty the view
-whenever a few datagrams are lost."""
+PEER_LOAD_MAX_AGE_S = 3.0
+"""Age up to which another instance's load report is used. The requests of a
+dead instance end within this time, since its connections close; a shorter limit
+would drop valid loads whenever a few datagrams are lost."""
 
-MOST_ENDED = 256
-"""Ends that are kept until they are told. What is left out is seen by its
-absence among the runs; only the verdict on the server is lost."""
+MAX_UNREPORTED_ENDS = 256
+"""Maximum number of ended requests kept until they are reported. The end of one
+that is dropped shows in the next reports of in-flight requests, which no longer
+contain it; only its verdict on the server is lost."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What is under way at one server.
+    """Load at one server.
 
     Attributes:
-        unread: Prompt tokens sent and not known to be read.
+        unread: Prompt tokens sent and not yet known to be prefilled.
         running: Requests sent and not ended.
-        memory: Tokens of memory that they hold or will hold.
+        memory: Tokens of KV cache that they occupy or will occupy.
     """
 
     unread: int = 0
@@ -53,19 +54,19 @@
         )
 
 
-NOTHING = Load()
+NO_LOAD = Load()
 
 
 class Run:
-    """One request at one server, from its dispatch to its end.
+    """One in-flight request at one server, from dispatch to end.
 
     Attributes:
-        number: Names it among all runs of its instance.
+        number: Identifies it among all in-flight requests of its instance.
         server: The server.
-        ahead: Prompt tokens that were unread there before it.
-        unread: Its prompt tokens that are not known to be read.
-        memory: Tokens of memory that it holds or will hold.
-        first_s: Time from its sending to its first event; None before it.
+        ahead: Prompt tokens pending prefill at the server before it.
+        unread: Its own prompt tokens not yet known to be prefilled.
+        memory: Tokens of KV cache that it occupies or will occupy.
+        first_s: Time from sending to its first event; None before that.
 
     Example:
         >>> workload = Workload()
@@ -96,21 +97,21 @@
         self._ended = False
 
     def read(self, first_s: float = 0.0) -> None:
-        """Notes that its prompt is read: its first event is there.
+        """Records its first event, which shows that its prefill is complete.
 
         Args:
-            first_s: Time from its sending to that event.
+            first_s: Time from sending to that event.
         """
         self.first_s = first_s
         self._workload.change(self.server, Load(-self.unread, 0, 0))
         self.unread = 0
 
     def end(self, verdict: "Verdict | None" = None, output: int = 0) -> None:
-        """Notes that it has ended; a second call does nothing.
+        """Records its end; a second call does nothing.
 
         Args:
-            verdict: What its end says of the server; None for nothing.
-            output: Tokens of a whole stream; 0 otherwise.
+            verdict: What its end shows about the server; None for nothing.
+            output: Output tokens of a complete stream; 0 otherwise.
         """
         if self._ended:
             return
@@ -120,11 +121,11 @@
 
 
 class Verdict(enum.Enum):
-    """What the end of a request says of its server.
+    """What the end of a request shows about its server.
 
     Attributes:
-        GOOD: It gave a whole answer.
-        BAD: It could not be reached, fell silent or broke off.
+        GOOD: The server completed the answer.
+        BAD: The server was unreachable, became unresponsive or broke off.
     """
 
     GOOD = "good"
@@ -136,10 +137,10 @@
     """The end of a request at a server.
 
     Attributes:
-        number: The run's number.
+        number: Number of the in-flight request.
         server: The server.
-        verdict: What it says of the server; None for nothing.
-        output: Tokens of a whole stream; 0 otherwise.
+        verdict: What it shows about the server; None for nothing.
+        output: Output tokens of a complete stream; 0 otherwise.
     """
 
     number: int
@@ -151,83 +152,84 @@
 @dataclasses.dataclass(frozen=True)
 class _PeerLoads:
     number: int
-    heard: float
+    received_at: float
     loads: dict[str, Load]
 
 
 class Workload:
-    """The ledger of one instance: its own requests and the others' words.
+    """Load records of one instance: its own requests and its peers' reports.
 
     Attributes:
-        changed: Whether own loads changed since this was last cleared.
-        runs: Own requests under way, by number.
-        ended: Own requests that ended and were not taken from here yet.
-        touched: Servers whose own loads changed and were not taken yet.
+        changed: Whether the own loads changed since the flag was last cleared.
+        runs: Own in-flight requests by number.
+        ended: Own ended requests that are not yet reported.
+        touched: Servers whose own loads changed and are not yet reported.
     """
 
     def __init__(self) -> None:
         self._own: dict[str, Load] = {}
         self._peers: dict[str, _PeerLoads] = {}
-        self._others: dict[str, Load] = {}
+        self._peer_total: dict[str, Load] = {}
         self._numbers = itertools.count(1)
         self.changed = False
         self.runs: dict[int, Run] = {}
         self.ended: collections.deque[End] = collections.deque(
-            maxlen=MOST_ENDED
+            maxlen=MAX_UNREPORTED_ENDS
         )
         self.touched: set[str] = set()
 
     def new_number(self) -> int:
-        """Returns a number that no run has had."""
+        """Returns a number that no request of this instance has had."""
         return next(self._numbers)
 
     def start(
         self, server: str, unread: int, memory: int, number: int | None = None
     ) -> Run:
-        """Notes that a request is being sent to a server.
+        """Records that a request is sent to a server.
 
         Args:
             server: The server.
-            unread: Prompt tokens that it has to read.
-            memory: Tokens of memory that the request takes there.
-            number: Its number, from `new_number`, if another instance has
-                given it its place and so knows of it; None for a new one.
+            unread: Prompt tokens to prefill there.
+            memory: Tokens of KV cache that the request needs there.
+            number: Its number, if it was assigned for a placement by another
+                instance, which has then already counted the request; None to
+                assign a new one.
         """
-        known = number is not None
-        number = number if known else self.new_number()
+        already_counted = number is not None
+        number = number if already_counted else self.new_number()
         run = Run(self, number, server, unread, memory)
         self.runs[number] = run
-        news = not known or server in self.touched
+        unreported = not already_counted or server in self.touched
         self.change(server, Load(unread, 1, memory))
-        if not news:
+        if not unreported:
             self.touched.remove(server)
         return run
 
     def close(self, end: End) -> None:
-        """Takes the end of a run."""
+        """Records the end of an in-flight request."""
         self.runs.pop(end.number, None)
         self.ended.append(end)
 
     def change(self, server: str, difference: Load) -> None:
-        """Adds to what this instance has under way at a server."""
-        load = self._own.get(server, NOTHING) + difference
+        """Adds a difference to this instance's load at a server."""
+        load = self._own.get(server, NO_LOAD) + difference
         self.changed = True
         self.touched.add(server)
-        if load == NOTHING:
+        if load == NO_LOAD:
             self._own.pop(server, None)
         else:
             self._own[server] = load
 
     def own(self) -> list[ServerLoad]:
-        """Returns this instance's loads, for the others."""
+        """Returns this instance's loads, to be reported to the others."""
         return [
             ServerLoad(name, load.unread, load.running, load.memory)
             for name, load in self._own.items()
         ]
 
     def own_running(self, server: str) -> int:
-        """Returns how many requests this instance has under way there."""
-        return self._own.get(server, NOTHING).running
+        """Returns the number of this instance's in-flight requests there."""
+        return self._own.get(server, NO_LOAD).running
 
     def hear(
         self,
@@ -236,7 +238,7 @@
         loads: Iterable[ServerLoad],
         now: float,
     ) -> bool:
-        """Takes another instance's loads; returns whether they are news."""
+        """Applies an instance's load report; returns whether it is new."""
         held = self._peers.get(instance)
         if held is not None and held.number >= number:
             return False
@@ -245,32 +247,34 @@
             for item in loads
         }
         self._peers[instance] = _PeerLoads(number, now, by_server)
-        self._replace(held.loads if held else {}, by_server)
+        self._update_peer_total(held.loads if held else {}, by_server)
         return True
 
     def expire(self, now: float) -> None:
-        """Forgets the words of instances that have been silent."""
-        old = [
+        """Drops the reports of instances that have stopped sending them."""
+        expired = [
             name
             for name, held in self._peers.items()
-            if now - held.heard > PEER_WORD_LIFE_S
+            if now - held.received_at > PEER_LOAD_MAX_AGE_S
         ]
-        for name in old:
-            self._replace(self._peers.pop(name).loads, {})
+        for name in expired:
+            self._update_peer_total(self._peers.pop(name).loads, {})
 
     def load(self, server: str) -> Load:
-        """Returns what all instances have under way at a server."""
-        own = self._own.get(server, NOTHING)
-        others = self._others.get(server)
+        """Returns the total load of all instances at a server."""
+        own = self._own.get(server, NO_LOAD)
+        others = self._peer_total.get(server)
         return own if others is None else own + others
 
-    def _replace(self, old: dict[str, Load], new: dict[str, Load]) -> None:
-        # The sum is kept up by differences: to add up all instances for each
-        # word would make the work of a word grow with their number.
+    def _update_peer_total(
+        self, old: dict[str, Load], new: dict[str, Load]
+    ) -> None:
+        # The sum is updated by differences: adding up all instances for each
+        # report would make the cost of a report grow with their number.
         for name in old.keys() | new.keys():
-            total = self._others.get(name, NOTHING)
-            total = total + new.get(name, NOTHING) - old.get(name, NOTHING)
-            if total == NOTHING:
-                self._others.pop(name, None)
+            total = self._peer_total.get(name, NO_LOAD)
+            total = total + new.get(name, NO_LOAD) - old.get(name, NO_LOAD)
+            if total == NO_LOAD:
+                self._peer_total.pop(name, None)
             else:
-                self._others[name] = total
+                self._peer_total[name] = total
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -290,7 +290,7 @@
     Safeguard(
         "the request head is bounded",
         "headbound",
-        "if self._fields > self._bounds.head_bytes:",
+        "if self._field_bytes > self._bounds.head_bytes:",
         "if False:",
         "test_callers.BadInputTest.test_large_head",
     ),
@@ -402,25 +402,27 @@
         "test_platforminstances.StoreOutageTest.test_learns_from_another_instance",
     ),
     Safeguard(
-        "a silent server gets no more",
+        "an unresponsive server gets no more requests",
         "silences",
-        "        if now - words.heard < QUIET_S:\n            return False\n",
+        "        if now - activity.last_response < UNRESPONSIVE_AFTER_S:\n"
+        "            return False\n",
         "        return False\n",
-        "test_workload.SilencesTest.test_dark_server",
+        "test_workload.ResponseMonitorTest.test_server_without_power",
     ),
     Safeguard(
         "a stopping instance refuses what cannot end",
         "stopping",
         "return now + limit_s < self.ends",
         "return True",
-        "test_workload.StopTest.test_takes_what_can_end",
+        "test_workload.StopTest.test_accepts_requests_that_can_finish",
     ),
     Safeguard(
         "the allowance is dealt by the most instances of late",
         "sharedbudget",
         "most = max((size for _, size in self._sizes), default=1)",
         "most = self._sizes[-1][1]",
-        "test_workload.SharedBudgetTest.test_partition_does_not_double_it",
+        "test_workload.SharedBudgetTest"
+        ".test_partition_does_not_double_the_allowance",
     ),
     Safeguard(
         "logs never block",
@@ -430,9 +432,9 @@
         "test_adapter.EventLogTest.test_reader_that_does_not_read",
     ),
     Safeguard(
-        "a head that is late is refused",
+        "a request head that is too slow is rejected",
         "headbound",
-        "                self.transport.write(_LATE_ANSWER)\n"
+        "                self.transport.write(_TIMEOUT_RESPONSE)\n"
         "                self.transport.close()\n",
         "                pass\n",
         "test_platforminstances.SlowCallerTest.test_times_of_the_configuration",
@@ -452,39 +454,41 @@
         "test_platforminstances.SlowCallerTest.test_times_of_the_configuration",
     ),
     Safeguard(
-        "runs from a leaving server are spread",
+        "streams from a draining server are spread",
         "dispatcher",
-        "owner(call.id, by_id)])\n\n    def _open_to",
-        'owner("", by_id)])\n\n    def _open_to',
-        "test_dispatcher.RefugeTest.test_instances_do_not_meet_at_one_server",
+        "owner(call.id, by_id)])\n\n    def _migration",
+        'owner("", by_id)])\n\n    def _migration',
+        "test_dispatcher.MigrationTargetTest"
+        ".test_instances_choose_different_servers",
     ),
     Safeguard(
-        "runs go on among their kind",
+        "moved streams stay on servers of their kind",
         "dispatcher",
-        "for item in roomy or group}",
-        "for item in roomy or servers}",
-        "test_dispatcher.RefugeTest.test_not_among_more_urgent_ones",
+        "for item in available or group}",
+        "for item in available or servers}",
+        "test_dispatcher.MigrationTargetTest.test_stays_on_servers_of_its_kind",
     ),
     Safeguard(
-        "paces that were told are not told on",
+        "reported times per token are not forwarded",
         "dispatcher",
         "self.paces.own_s(item.server, now) or 0",
         "self.paces.token_s(item.server, now) or 0",
-        "test_dispatcher.ToldPaceTest.test_words_are_not_passed_on",
+        "test_dispatcher.ReportedTokenTimeTest.test_reports_are_not_forwarded",
     ),
     Safeguard(
-        "paces are told",
+        "times per token are reported",
         "dispatcher",
         "            if item.token_us:\n",
         "            if False:\n",
-        "test_dispatcher.ToldPaceTest.test_engine_seen_by_others_only",
+        "test_dispatcher.ReportedTokenTimeTest"
+        ".test_slow_engine_known_from_reports_only",
     ),
     Safeguard(
-        "only calm engines show the idle pace",
+        "step times are measured without prefill only",
         "dispatcher",
-        "reading_s > CALM_S",
+        "prefill_s > UNDISTURBED_PREFILL_S",
         "False",
-        "test_dispatcher.IdlePaceTest.test_burst_at_the_start",
+        "test_dispatcher.StepTimeTest.test_prefill_is_not_part_of_the_step_time",
     ),
     Safeguard(
         "a waiting call is renewed once another has failed",
@@ -595,11 +599,11 @@
         "test_serverrows.ForeignRowTest.test_data_that_is_no_base64",
     ),
     Safeguard(
-        "callers' patience bounds a wait",
+        "callers' patience bounds the queueing delay",
         "admission",
-        "self.ahead_s + self.first_s - self.patience_s * MARGIN_SHARE,",
+        "self.queue_delay_s + self.first_s - self.patience_s * MARGIN_SHARE,",
         "0.0,",
-        "test_waitingroom.WaitingRoomTest.test_caller_that_will_have_left",
+        "test_waitingroom.QueueTest.test_refuses_callers_who_would_disconnect",
     ),
     Safeguard(
         "a run that cannot end moves on",
@@ -610,12 +614,12 @@
         ".test_answer_that_cannot_end_goes_on_elsewhere",
     ),
     Safeguard(
-        "engines' lines go through the quicker half",
+        "engine models are fitted to the faster half",
         "enginemodel",
-        "quick = ranked[: max(LEAST_SAMPLES, len(ranked) // 2)]",
-        "quick = ranked",
+        "fastest = ranked[: max(MIN_SAMPLES, len(ranked) // 2)]",
+        "fastest = ranked",
         "test_enginemodel.EngineModelTest"
-        ".test_most_waited_behind_what_was_not_told",
+        ".test_most_samples_delayed_by_unreported_prompts",
     ),
     Safeguard(
         "instances greet soon after a start",
@@ -632,11 +636,11 @@
         "test_adapter.HeadersTest.test_source_of_the_start",
     ),
     Safeguard(
-        "overflow has an order",
+        "overflow follows a common order",
         "placing",
-        "worth_s.get(item.placed.server.id, 0.0)",
+        "order_value_s.get(item.placed.server.id, 0.0)",
         "0.0",
-        "test_placing.ModelPlacingTest.test_overflow_has_an_order",
+        "test_placing.ModelPlacingTest.test_overflow_goes_to_one_server",
     ),
     Safeguard(
         "routes' ranks stay behind organisations'",
@@ -650,7 +654,7 @@
         "peerwords",
         "if len({len(item) for item in lists}) != 1:",
         "if False:",
-        "test_dispatcher.PeerWordTest.test_unreadable",
+        "test_dispatcher.PeerMessageTest.test_invalid_data_is_rejected",
     ),
     Safeguard(
         "a suspicion older than what is known counts",
@@ -682,11 +686,11 @@
         "test_ownersmodel.OwnersModelTest.test_seeds",
     ),
     Safeguard(
-        "a cold start is not taken as read by who knows all",
+        "an uncached prefix is not assumed cached where caches are known",
         "placing",
-        "if at_home and not item.known:",
-        "if at_home:",
-        "test_placing.KnownCachesTest.test_cold_start_is_read",
+        "if is_first_choice and not item.cache_known:",
+        "if is_first_choice:",
+        "test_placing.KnownCachesTest.test_uncached_prefix_is_prefilled",
     ),
     Safeguard(
         "requests under which servers end are sent no more",
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,15 +1,15 @@
-"""Which servers serve which kind of work."""
+"""Tests the split of servers by request kind."""
 
 import unittest
 
-from jasminerelay.groups import DemandMeter, DemandView, Need, Split
+from jasminerelay.groups import DemandMeter, DemandView, ResourceNeed, Split
 from jasminerelay.schema.messages import KindDemand
 
 SERVERS = tuple(f"s{number}" for number in range(6))
 
 
 def kinds(long: float, mid: float, short: float) -> list[KindDemand]:
-    """Returns demand of three kinds: the longer the prompt, the lower rank."""
+    """Returns demand of three kinds; longer prompts have a lower rank."""
     return [
         KindDemand("long", long, 6600.0, 2),
         KindDemand("mid", mid, 1800.0, 1),
@@ -23,8 +23,8 @@
     def sizes(self, split: Split) -> tuple[int, ...]:
         return tuple(len(split.group(k)) for k in ("long", "mid", "short"))
 
-    def test_kinds_are_apart(self) -> None:
-        # A long prompt's reading would stretch the pauses of short streams.
+    def test_kinds_are_separated(self) -> None:
+        # Prefill of a long prompt would lengthen the pauses of short streams.
         split = Split()
         split.update(SERVERS, kinds(2.0, 0.4, 0.6))
         groups = [set(split.group(k)) for k in ("long", "mid", "short")]
@@ -32,9 +32,9 @@
         self.assertEqual(sum(map(len, groups)), len(SERVERS))
         self.assertEqual(self.sizes(split), (4, 1, 1))
 
-    def test_burst_of_the_first_rank(self) -> None:
-        # More work than servers: the first rank gets more than by work alone,
-        # and the lowest keeps most of its part.
+    def test_burst_of_the_highest_rank(self) -> None:
+        # More work than servers: the first rank gets more than its share of the
+        # work, and the lowest keeps most of its share.
         split = Split()
         split.update(SERVERS, kinds(6.0, 0.6, 3.4))
         long, mid, short = self.sizes(split)
@@ -42,17 +42,17 @@
         self.assertGreaterEqual(long, 2)
         self.assertEqual(mid, 1)
 
-    def test_small_waves_move_nothing(self) -> None:
+    def test_small_fluctuations_change_nothing(self) -> None:
         split = Split()
         split.update(SERVERS, kinds(2.0, 0.4, 0.6))
         before = dict(split.groups)
-        for wave in (0.9, 1.1, 0.95, 1.05):
+        for factor in (0.9, 1.1, 0.95, 1.05):
             self.assertFalse(
-                split.update(SERVERS, kinds(2.0 * wave, 0.4, 0.6 / wave))
+                split.update(SERVERS, kinds(2.0 * factor, 0.4, 0.6 / factor))
             )
         self.assertEqual(split.groups, before)
 
-    def test_one_server_more_keeps_most_caches(self) -> None:
+    def test_added_server_changes_few_groups(self) -> None:
         split = Split()
         split.update(SERVERS, kinds(2.0, 0.4, 0.6))
         before = set(split.group("long"))
@@ -67,15 +67,15 @@
             for kind in ("long", "mid", "short"):
                 self.assertTrue(split.group(kind), (count, kind))
 
-    def test_no_servers_and_no_work(self) -> None:
+    def test_no_servers_and_no_demand(self) -> None:
         split = Split()
         split.update((), kinds(1.0, 1.0, 1.0))
         self.assertEqual(split.group("long"), ())
         split.update(SERVERS, [])
         self.assertEqual(split.group("long"), ())
 
-    def test_same_words_same_split(self) -> None:
-        # Instances do not ask each other; the same words must give the same
+    def test_same_reports_same_split(self) -> None:
+        # Instances do not coordinate; the same reports must give the same
         # split, in whatever order they came.
         one, other = Split(), Split()
         one.update(SERVERS, kinds(3.0, 0.5, 1.5))
@@ -84,14 +84,14 @@
 
 
 class DemandTest(unittest.TestCase):
-    """Measured work."""
+    """Measurement of demand."""
 
     def test_rises_faster_than_it_falls(self) -> None:
         meter = DemandMeter()
         meter.tick(0.0)
         for step in range(1, 21):
             for _ in range(5):
-                meter.arrived("pool", "long", 2, Need(1000, 0, 1000))
+                meter.record("pool", "long", 2, ResourceNeed(1000, 0, 1000))
             meter.tick(step / 10)
         (high,) = meter.demand(lambda service, need: need.unread / 10_000)
         self.assertGreater(high.work, 4.0)
@@ -100,11 +100,11 @@
         (later,) = meter.demand(lambda service, need: need.unread / 10_000)
         self.assertGreater(later.work, high.work * 0.8)
 
-    def test_sums_instances_and_forgets_silent_ones(self) -> None:
+    def test_sums_instances_and_drops_old_reports(self) -> None:
         view = DemandView()
-        word = [KindDemand("pool/long", 1.0, 1000.0, 2)]
-        view.hear("a", word, 0.0)
-        view.hear("b", word, 2.5)
+        report = [KindDemand("pool/long", 1.0, 1000.0, 2)]
+        view.hear("a", report, 0.0)
+        view.hear("b", report, 2.5)
         self.assertEqual(view.total("pool", 2.6)[0].work, 2.0)
         self.assertEqual(view.total("pool", 4.0)[0].work, 1.0)
         self.assertEqual(view.total("other", 4.0), [])
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Where requests go under load, without a network."""
+"""Tests the choice of a server under load, without a network."""
 
 import dataclasses
 import random
@@ -18,17 +18,17 @@
 from jasminerelay.enginemodel import Speeds
 from jasminerelay.placing import Guess, Option, Placed, Wait
 from jasminerelay.workload import (
-    NOTHING,
+    NO_LOAD,
     Load,
 )
 
 ENGINE = Engine(64, 700_000, 18_432, True, 5)
-GUESS = Guess(400, 400)
+ESTIMATE = Guess(400, 400)
 SPEEDS = Speeds(1 / 80_000, 0.045, 0.004, 0.000_08)
 
 
 def route(**fields) -> Route:
-    """Returns a route of long prompts; unnamed fields have plain values."""
+    """Returns a route of long prompts; other fields have default values."""
     values = {
         "name": "long",
         "host": "h",
@@ -48,7 +48,7 @@
 
 
 def call(name: str = "c1", arrived: float = 0.0, **fields) -> Call:
-    """Returns a request with a shared start of 5,000 tokens."""
+    """Returns a request with a shared prompt prefix of 5,000 tokens."""
     parts = (PromptPart("start", 5000), PromptPart(name, 6000))
     values = {
         "route": route(),
@@ -69,8 +69,8 @@
     return Call(name, **{**values, **fields})
 
 
-def option(name: str, load: Load = NOTHING, **fields) -> Option:
-    """Returns a server with what is under way there."""
+def option(name: str, load: Load = NO_LOAD, **fields) -> Option:
+    """Returns a server with some load."""
     server = BackendServer(name, "pool", "1.2.3.4:5", "z", 6, False)
     return Option(server, load, **fields)
 
@@ -78,81 +78,86 @@
 def place(options: list[Option], now: float = 0.0, **fields):
     """Places a request."""
     return placing.place_model(
-        call(**fields), ENGINE, SPEEDS, options, GUESS, now
+        call(**fields), ENGINE, SPEEDS, options, ESTIMATE, now
     )
 
 
 class KnownCachesTest(unittest.TestCase):
-    """Placing where all that servers have read is known."""
+    """Placement where the contents of all servers' caches are known."""
 
-    LINKED = dataclasses.replace(ENGINE, link_bits_s=2e11)
+    FAST_LINKS = dataclasses.replace(ENGINE, link_bits_s=2e11)
 
     def place(self, *options: Option):
-        known = [dataclasses.replace(item, known=True) for item in options]
+        cache_known = [
+            dataclasses.replace(item, cache_known=True) for item in options
+        ]
         return placing.place_model(
-            call(), self.LINKED, SPEEDS, known, GUESS, 0.0
+            call(), self.FAST_LINKS, SPEEDS, cache_known, ESTIMATE, 0.0
         )
 
-    def test_cold_start_is_read(self) -> None:
-        # Requests with a start that nobody has read yet come in a burst. Taken
-        # for read at the server that it belongs to, each was counted for half
-        # of its reading, and that server was filled with twice what it reads
-        # in time.
+    def test_uncached_prefix_is_prefilled(self) -> None:
+        # Guards against an overloaded server under a burst of requests whose
+        # common prefix is cached nowhere yet. With the prefix assumed cached at
+        # the first server in the common order, each request counted for half of
+        # its prefill, and that server got twice what it can prefill in time.
         placed = self.place(option("a"), option("b"))
         self.assertEqual(placed.unread, 11_000)
         self.assertIsNone(placed.source)
-        self.assertTrue(placed.sure)
+        self.assertTrue(placed.prefill_known)
 
-    def test_copied_from_who_has_it(self) -> None:
+    def test_prefix_is_copied_from_a_holder(self) -> None:
         busy = Load(20_000, 10, 100_000)
-        placed = self.place(option("a", busy, warm=5000), option("b"))
+        placed = self.place(option("a", busy, cached_tokens=5000), option("b"))
         self.assertEqual(placed.server.id, "b")
         self.assertEqual(placed.source.id, "a")
         self.assertEqual(placed.unread, 6000)
 
-    def test_no_reading_piles_up(self) -> None:
-        # What is sent is known at once, so a tenth of a second of reading is
-        # enough to keep an engine at work; the rest waits where its order can
-        # still change.
+    def test_pending_prefill_is_bounded(self) -> None:
+        # All requests sent are known at once, so a tenth of a second of pending
+        # prefill keeps an engine busy; the rest waits where it can still be
+        # reordered.
         ahead = int(placing.KNOWN_UNREAD_S / SPEEDS.read_token_s) + 1
         full = Load(ahead, 1, 10_000)
         self.assertIsInstance(self.place(option("a", full)), Wait)
 
 
 class ModelPlacingTest(unittest.TestCase):
-    """One request and the servers of its group."""
+    """Placement of one request on the servers of its group."""
 
-    def home(self) -> str:
+    def first_choice(self) -> str:
         return place([option("a"), option("b"), option("c")]).server.id
 
-    def test_same_start_same_server(self) -> None:
-        # Requests that share the start of their prompts meet at one server,
-        # whichever instance places them: reading it once is enough.
-        home = self.home()
+    def test_same_prefix_same_server(self) -> None:
+        # Requests with the same prompt prefix go to the same server, whichever
+        # instance places them, so that the prefix is prefilled once.
+        first_choice = self.first_choice()
         for name in ("x", "y", "z"):
             placed = place([option("c"), option("a"), option("b")], name=name)
-            self.assertEqual(placed.server.id, home)
+            self.assertEqual(placed.server.id, first_choice)
             self.assertEqual(placed.unread, 6000)
 
-    def test_waits_for_the_warm_server(self) -> None:
-        # A burst about one thing fills its server. For a while the next one
-        # waits in the instance; what is nearly late goes elsewhere.
+    def test_waits_for_the_server_with_the_prefix(self) -> None:
+        # A burst of requests with the same prefix fills its server. For a while
+        # the next request waits in the instance; one that is almost late goes
+        # elsewhere.
         full = Load(unread=45_000, running=5, memory=50_000)
-        home = self.home()
+        first_choice = self.first_choice()
         options = [
-            option(name, full if name == home else Load()) for name in "abc"
+            option(name, full if name == first_choice else Load())
+            for name in "abc"
         ]
         self.assertIsInstance(place(options, now=0.0), Wait)
         late = place(options, now=1.9)
-        self.assertNotEqual(late.server.id, home)
+        self.assertNotEqual(late.server.id, first_choice)
         self.assertEqual(late.unread, 11_000)
 
-    def test_overflow_has_an_order(self) -> None:
-        # A burst about one thing fills its server at many instances at once.
-        # What overflows reads the start anew at one further server, not at as
-        # many as there are instances, though each sees other loads.
+    def test_overflow_goes_to_one_server(self) -> None:
+        # Guards against a prefix prefilled at as many servers as there are
+        # instances. A burst of requests with the same prefix fills its server
+        # at many instances at once. The overflow goes to one further server,
+        # though each instance sees other loads.
         names = [f"s{number}" for number in range(20)]
-        home = place([option(name) for name in names]).server.id
+        first_choice = place([option(name) for name in names]).server.id
         full = Load(unread=45_000, running=5, memory=50_000)
         rng = random.Random(4)
         chosen = set()
@@ -161,7 +166,7 @@
                 option(
                     name,
                     full
-                    if name == home
+                    if name == first_choice
                     else Load(rng.randrange(9000), rng.randrange(9), 50_000),
                 )
                 for name in names
@@ -169,84 +174,86 @@
             chosen.add(place(options, now=1.9).server.id)
         self.assertEqual(len(chosen), 1)
 
-    def overflowing(self, engine: Engine) -> Placed:
-        """Places a late request whose start's server is full."""
+    def place_overflow(self, engine: Engine) -> Placed:
+        """Places an almost late request whose first-choice server is full."""
         full = Load(unread=45_000, running=5, memory=50_000)
-        home = self.home()
+        first_choice = self.first_choice()
         options = [
-            option(name, full if name == home else Load()) for name in "abc"
+            option(name, full if name == first_choice else Load())
+            for name in "abc"
         ]
         return placing.place_model(
-            call(), engine, SPEEDS, options, GUESS, now=1.9
+            call(), engine, SPEEDS, options, ESTIMATE, now=1.9
         )
 
-    def test_start_is_copied_where_that_is_quicker(self) -> None:
-        # A burst about one thing overflows from the server that has read its
-        # start. A copy of it between two servers takes 4 ms, reading it again
-        # 60 ms of an engine that others wait for.
+    def test_prefix_is_copied_where_that_is_faster(self) -> None:
+        # Requests with the same prefix overflow from the server that has it
+        # cached. Copying the prefix between two servers takes 4 ms, prefilling
+        # it again 60 ms of an engine that others wait for.
         linked = dataclasses.replace(ENGINE, link_bits_s=200e9)
-        placed = self.overflowing(linked)
-        self.assertEqual(placed.source.id, self.home())
+        placed = self.place_overflow(linked)
+        self.assertEqual(placed.source.id, self.first_choice())
         self.assertEqual(placed.unread, 6000)
 
-    def test_start_is_read_where_copies_are_slow(self) -> None:
+    def test_prefix_is_prefilled_where_copies_are_slow(self) -> None:
         for bits_s in (0.0, 1e9):
             linked = dataclasses.replace(ENGINE, link_bits_s=bits_s)
-            self.assertEqual(self.overflowing(linked).unread, 11_000)
+            self.assertEqual(self.place_overflow(linked).unread, 11_000)
 
     def test_source_is_another_server(self) -> None:
-        # The server of a start may have lost it since: memory is limited. It
-        # asks the next one in the order, and never itself.
+        # The first-choice server may have evicted the prefix, since its cache
+        # is limited. It copies from the next server in the order, never from
+        # itself.
         placed = place([option("a"), option("b"), option("c")])
         self.assertNotEqual(placed.source.id, placed.server.id)
         self.assertIsNone(place([option("a")]).source)
 
-    def test_who_was_seen_to_read_it_is_asked_first(self) -> None:
-        home = self.home()
-        (seen, other) = sorted(set("abc") - {home})
+    def test_known_holder_is_the_first_source(self) -> None:
+        first_choice = self.first_choice()
+        (holder, other) = sorted(set("abc") - {first_choice})
         full = Load(unread=45_000, running=5, memory=50_000)
         options = [
-            option(home, full),
-            option(seen, full, warm=5000),
+            option(first_choice, full),
+            option(holder, full, cached_tokens=5000),
             option(other),
         ]
         placed = place(options, now=1.9)
-        self.assertEqual((placed.server.id, placed.source.id), (other, seen))
+        self.assertEqual((placed.server.id, placed.source.id), (other, holder))
 
-    def test_slots_and_memory_bound_a_server(self) -> None:
-        crowded = Load(running=60, memory=10_000)
-        stuffed = Load(running=10, memory=690_000)
-        for load in (crowded, stuffed):
+    def test_slots_and_cache_bound_a_server(self) -> None:
+        full_slots = Load(running=60, memory=10_000)
+        full_cache = Load(running=10, memory=690_000)
+        for load in (full_slots, full_cache):
             self.assertIsInstance(place([option("a", load)], now=5.0), Wait)
 
-    def test_huge_request_runs_alone(self) -> None:
+    def test_request_larger_than_the_cache_share(self) -> None:
         prompt = Prompt((PromptPart("x", 900_000),), 900_000, 10, None)
         self.assertIsInstance(place([option("a")], prompt=prompt), Placed)
 
-    def test_slow_engine_is_full(self) -> None:
-        # Streams that pass through tell that an answer would take longer than
-        # its time limit; a further request would slow all of them.
+    def test_slow_engine_has_no_capacity(self) -> None:
+        # The measured time per token shows that an answer would exceed its time
+        # limit; another request would slow all streams there.
         busy = Load(running=20, memory=100_000)
         slow = option("a", busy, token_s=0.04)
         self.assertIsInstance(place([slow], now=5.0), Wait)
         fast = option("a", busy, token_s=0.01)
         self.assertIsInstance(place([fast], now=5.0), Placed)
 
-    def test_blocked_server_is_left_out(self) -> None:
+    def test_blocked_server_is_excluded(self) -> None:
         options = [option("a", blocked=True), option("b")]
         self.assertEqual(place(options).server.id, "b")
         self.assertIsInstance(place([option("a", blocked=True)]), Wait)
 
-    def test_calm_servers_read_no_long_prompt(self) -> None:
+    def test_servers_with_little_prefill(self) -> None:
         options = [option("a", Load(unread=50_000)), option("b")]
-        calm = placing.calm(options, 4096)
-        self.assertEqual([o.server.id for o in calm], ["b"])
+        with_prefill_at_most = placing.with_prefill_at_most(options, 4096)
+        self.assertEqual([o.server.id for o in with_prefill_at_most], ["b"])
 
 
 class PlainPlacingTest(unittest.TestCase):
-    """Requests of plain services."""
+    """Placement of requests of plain services."""
 
-    def test_least_loaded_and_near(self) -> None:
+    def test_least_loaded_server(self) -> None:
         plain = call(prompt=None)
         options = [option("a", Load(running=3)), option("b", Load(running=1))]
         placed = placing.place_plain(plain, options, "z")
@@ -262,7 +269,7 @@
         }
         self.assertEqual(found, {"a", "b", "c"})
 
-    def test_full_servers_make_it_wait(self) -> None:
+    def test_waits_for_full_servers(self) -> None:
         full = [option("a", Load(running=12))]
         placed = placing.place_plain(call(prompt=None), full, "z")
         self.assertIsInstance(placed, Wait)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,7 +1,7 @@
-"""Which requests a full engine puts back, by the grades that it is given.
+"""Tests which requests a full engine preempts, given their urgency levels.
 
-Pattern: a burst of chats of all organisations at engines of sixteen places,
-among which long studies go on that were moved there.
+Pattern: a burst of chats of all organisations at engines with sixteen slots,
+which also run long studies that were moved there.
 """
 
 import itertools
@@ -31,62 +31,69 @@
 
 
 class Engine:
-    """Takes the more urgent first, and puts back the newest of the others."""
+    """Runs urgent requests first; preempts the newest of the others."""
 
-    def __init__(self, grade: Callable[[int, Route], int]):
-        self._grade = grade
+    def __init__(self, level: Callable[[int, Route], int]):
+        self._level = level
         self._running: list[tuple[int, int, Route]] = []
         self._numbers = itertools.count()
-        self.wrong = 0
+        self.wrong_preemptions = 0
 
-    def come(self, rank: int, route: Route) -> None:
-        """Takes a request, if it finds a place."""
-        if len(self._running) >= SLOTS and not self._put_back(rank, route):
+    def start(self, rank: int, route: Route) -> None:
+        """Starts a request if there is a slot or one can be preempted."""
+        if len(self._running) >= SLOTS and not self._preempt(rank, route):
             return
         self._running.append((next(self._numbers), rank, route))
 
     def end(self, rng: random.Random) -> None:
-        """Ends one of the requests."""
+        """Ends one of the running requests at random."""
         if self._running:
             self._running.remove(rng.choice(self._running))
 
-    def _put_back(self, rank: int, route: Route) -> bool:
-        new = self._grade(rank, route)
-        below = [x for x in self._running if self._grade(*x[1:]) > new]
-        if not below:
+    def _preempt(self, rank: int, route: Route) -> bool:
+        new = self._level(rank, route)
+        less_urgent = [x for x in self._running if self._level(*x[1:]) > new]
+        if not less_urgent:
             return False
-        victim = max(below)
+        victim = max(less_urgent)
         self._running.remove(victim)
-        self.wrong += any(x[2].rank > victim[2].rank for x in self._running)
+        self.wrong_preemptions += any(
+            x[2].rank > victim[2].rank for x in self._running
+        )
         return True
 
 
-def wrong(grade: Callable[[int, Route], int], seed: int) -> int:
-    """Returns how often one is put back while a less urgent one runs on."""
+def wrong_preemptions(level: Callable[[int, Route], int], seed: int) -> int:
+    """Returns how often a request is preempted while a less urgent one runs."""
     rng = random.Random(seed)
-    engine = Engine(grade)
+    engine = Engine(level)
     for _ in range(3):
-        engine.come(rng.choice((0, 1)), STUDY)
+        engine.start(rng.choice((0, 1)), STUDY)
     for _ in range(BURST):
         route = rng.choices((CHAT, CHECK, STUDY), (30, 1, 1))[0]
-        engine.come(rng.choice((0, 1)), route)
+        engine.start(rng.choice((0, 1)), route)
         if rng.random() < 0.8:
             engine.end(rng)
-    return engine.wrong
+    return engine.wrong_preemptions
 
 
 class FullEngineTest(unittest.TestCase):
     """A burst at a full engine."""
 
-    def test_two_grades(self) -> None:
+    def test_two_levels(self) -> None:
         for seed in range(20):
             with self.subTest(seed=seed):
-                found = wrong(lambda *x: not CATALOG.urgent(*x), seed)
+                found = wrong_preemptions(
+                    lambda *x: not CATALOG.urgent(*x), seed
+                )
                 self.assertLess(found, 10)
 
-    def test_a_grade_for_each_rank_is_worse(self) -> None:
-        # Says that the pattern is one: with all ranks told it breaks.
-        found = [wrong(CATALOG.level_of, seed) for seed in range(20)]
+    def test_one_level_for_each_rank_is_worse(self) -> None:
+        # Shows that the pattern matters: with one level for each rank, urgent
+        # requests are preempted.
+        found = [
+            wrong_preemptions(CATALOG.level_of, seed) for seed in range(20)
+        ]
         self.assertGreater(max(found), 10)
 
 
