--- a/tests/test_waitingroom.py
+++ b/tests/test_waitingroom.py
@@ -1,4 +1,4 @@
-"""Requests that wait in an instance."""
+"""Tests the queue of requests that wait for a server."""
 
 import dataclasses
 import time
@@ -6,7 +6,7 @@
 
 import anyio
 
-from jasminerelay.admission import Prospect, retry_after_s
+from jasminerelay.admission import WaitEstimate, retry_after_s
 from jasminerelay.catalog import (
     Call,
 )
@@ -19,10 +19,10 @@
 from tests.test_placing import call, option, route
 
 
-class WaitingRoomTest(unittest.IsolatedAsyncioTestCase):
-    """Requests that wait in an instance."""
+class QueueTest(unittest.IsolatedAsyncioTestCase):
+    """The queue of one instance."""
 
-    def room(self, free: list[str], hopeless: bool = False) -> WaitingRoom:
+    def queue(self, free: list[str], too_late: bool = False) -> WaitingRoom:
         workload = Workload()
 
         def find(item: Call, avoid: frozenset[str]):
@@ -33,22 +33,24 @@
         self.workload = workload
         return WaitingRoom(
             find,
-            lambda item, ahead: Prospect(99.0 if hopeless else 0.0, 0.0, 1.0),
+            lambda item, ahead: WaitEstimate(
+                99.0 if too_late else 0.0, 0.0, 1.0
+            ),
             lambda item: 0.1,
             lambda item, placed: workload.start(placed.server.id, 0, 0),
         )
 
     async def test_higher_rank_first(self) -> None:
-        # Three wait while nothing is free. A place comes free: the one of the
-        # highest rank gets it though it came last, and one that can still be
-        # in time goes before one that is late.
+        # Three requests wait while no server is free. When one becomes free,
+        # the request of the highest rank gets it although it came last, and one
+        # that can still meet its objective comes before one that is late.
         free: list[str] = []
-        room = self.room(free)
+        queue = self.queue(free)
         now = time.monotonic()
         order: list[str] = []
 
         async def enter(item: Call) -> None:
-            await room.enter(item, frozenset())
+            await queue.enter(item, frozenset())
             order.append(item.id)
 
         waiting = [
@@ -62,13 +64,13 @@
                 await anyio.sleep(0)
             for _ in waiting:
                 free.append("a")
-                room.freed("pool")
+                queue.freed("pool")
                 await anyio.sleep(0)
                 await anyio.sleep(0)
         self.assertEqual(order, ["high", "low", "late"])
 
-    def test_alike_organisations_go_by_route(self) -> None:
-        room = [
+    def test_equal_organisations_are_ordered_by_route(self) -> None:
+        queue = [
             Waiter(call("study", 0.0, rank=1), frozenset(), 0.1),
             Waiter(
                 call("chat", 1.0, rank=1, route=route(rank=0)),
@@ -77,67 +79,66 @@
             ),
             Waiter(call("first", 2.0, rank=0), frozenset(), 0.1),
         ]
-        room.sort(key=lambda item: item.order(2.0))
-        order = [item.call.id for item in room]
+        queue.sort(key=lambda item: item.order(2.0))
+        order = [item.call.id for item in queue]
         self.assertEqual(order, ["first", "chat", "study"])
 
-    def test_late_by_the_reading_that_is_left(self) -> None:
-        # A burst fills the engines. The first one's objective is not over
-        # yet, but its prompt takes longer to read than what is left of it;
-        # placed first, it would be late all the same, and so would the one
-        # that has just come.
-        room = [
+    def test_order_includes_prefill_time(self) -> None:
+        # Guards against a request placed first although its prompt takes longer
+        # to prefill than the time left to its objective: it would be late
+        # anyway, and so would the request that has just come.
+        queue = [
             Waiter(call("old", 0.0), frozenset(), 0.1, first_s=0.4),
             Waiter(call("new", 1.5), frozenset(), 0.1, first_s=0.4),
         ]
-        room.sort(key=lambda item: item.order(1.7))
-        self.assertEqual([item.call.id for item in room], ["new", "old"])
+        queue.sort(key=lambda item: item.order(1.7))
+        self.assertEqual([item.call.id for item in queue], ["new", "old"])
 
-    async def test_hopeless_is_refused_at_once(self) -> None:
-        room = self.room([], hopeless=True)
+    async def test_late_request_is_refused_at_once(self) -> None:
+        queue = self.queue([], too_late=True)
         with self.assertRaises(NoRoomError) as caught:
-            await room.enter(call(), frozenset())
+            await queue.enter(call(), frozenset())
         self.assertGreater(caught.exception.retry_s, 0)
 
-    async def test_caller_that_leaves_frees_its_place(self) -> None:
-        # A caller leaves just as its place is found. A run that nobody ends
-        # would hold room at the server for good.
+    async def test_disconnect_releases_capacity(self) -> None:
+        # Guards against a leaked in-flight request when a caller disconnects
+        # just as its request is placed: it would occupy capacity at the server
+        # for good.
         free: list[str] = []
-        room = self.room(free)
+        queue = self.queue(free)
 
         async def serve() -> None:
-            seat = await room.enter(call(), frozenset())
+            reservation = await queue.enter(call(), frozenset())
             try:
                 await anyio.sleep_forever()
             finally:
-                seat.run.end()
+                reservation.run.end()
 
         async with anyio.create_task_group() as group:
             group.start_soon(serve)
             await anyio.sleep(0)
             free.append("a")
-            room.freed("pool")
+            queue.freed("pool")
             group.cancel_scope.cancel()
         self.assertEqual(self.workload.load("a").running, 0)
-        self.assertEqual(len(room), 0)
-
-    def test_caller_that_will_have_left(self) -> None:
-        # There is time for the whole answer, but its caller leaves a stream
-        # that stays silent for three seconds: read for it, the prompt would
-        # be read in vain.
-        prospect = Prospect(2.9, 1.0, 15.0, first_s=0.3, patience_s=3.0)
-        self.assertTrue(prospect.hopeless)
-        patient = dataclasses.replace(prospect, patience_s=4.0)
-        self.assertFalse(patient.hopeless)
-
-    def test_retry_after_is_kept_to(self) -> None:
-        # Callers wait as told up to a third of the time they have left.
+        self.assertEqual(len(queue), 0)
+
+    def test_refuses_callers_who_would_disconnect(self) -> None:
+        # There is time for the whole answer, but its caller disconnects after
+        # three seconds without an event, so the prefill would be wasted.
+        estimate = WaitEstimate(2.9, 1.0, 15.0, first_s=0.3, patience_s=3.0)
+        self.assertTrue(estimate.too_late)
+        longer_patience = dataclasses.replace(estimate, patience_s=4.0)
+        self.assertFalse(longer_patience.too_late)
+
+    def test_retry_after_is_bounded(self) -> None:
+        # Callers respect a Retry-After of up to a third of their time left.
         for left_s in (0.3, 3.0, 15.0):
-            prospect = Prospect(40.0, 5.0, left_s)
+            estimate = WaitEstimate(40.0, 5.0, left_s)
             for spread in (0.0, 0.5, 1.0):
-                told = retry_after_s(prospect, spread)
-                self.assertLessEqual(told, max(0.05, left_s / 3))
-                self.assertGreater(told, 0)
+                delay_s = retry_after_s(estimate, spread)
+                self.assertLessEqual(delay_s, max(0.05, left_s / 3))
+                self.assertGreater(delay_s, 0)
 
 
 if __name__ == "__main__":
