--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -344,7 +344,7 @@
         """Returns other kinds' servers that a request may use at once.
 
         A cell has few servers, so a kind that needs one and a half gets one,
-        with queueing, or two; and the split follows a burst by a second or two.
+        with queueing, or two; and the split lags a burst by a second or two.
         A kind may therefore use the servers of kinds of lower priority, except
         those of the kind with the longest prompts, whose prefill would cause
         pauses that are too long.
@@ -485,7 +485,7 @@
                 engine, self._speeds(call.service), item, memory
             )
         ]
-        # A full server is better than none, which would break the stream off.
+        # A full server is better than none: without one the stream breaks off.
         by_id = {item.id: item for item in available or group}
         return self.seat_at(call, by_id[rendezvous.owner(call.id, by_id)])
 
@@ -532,7 +532,7 @@
     ) -> Seat | None:
         """Reserves a faster server for a stream that cannot finish where it is.
 
-        Any kind's servers will do, because a stream whose prompt is prefilled
+        Servers of all kinds qualify, because a stream whose prompt is prefilled
         does not lengthen the pauses of others. Request ids spread the streams
         over all faster servers.
         """
