--- a/src/jasminerelay/asking.py
+++ b/src/jasminerelay/asking.py
@@ -1,9 +1,10 @@
-"""An instance's side of a cell: asks the cell's owner for places.
+"""Requests placements from cell owners and reports in-flight requests to them.
 
-Where few instances share the work each decides by what all tell each other.
-Where there are many it asks the owner of the cell to which the start of the
-request's prompt belongs. An owner that is dead, frozen or cut off costs one
-short silence; after it the instance decides by its own view for a while.
+With few instances, each one places its requests itself, by the loads that all
+instances send each other. With many, an instance requests a placement from the
+owner of the cell to which the shared prefix of the request's prompt hashes. If
+an owner has crashed, hangs or is unreachable, the first request waits for one
+short timeout; the instance then places requests itself for a while.
 """
 
 import dataclasses
@@ -25,9 +26,9 @@
     REFUSED,
     US,
     WAITING,
-    ask_word,
-    end_word,
-    run_word,
+    in_flight_request,
+    placement_request,
+    request_end,
 )
 from jasminerelay.placing import Placed
 from jasminerelay.registry import Registry
@@ -43,58 +44,59 @@
 from jasminerelay.workload import Run
 
 OWNERS_FROM = 24
-"""Instances from which on owners decide. Among fewer each hears all loads in
-time, and cells would only add a message to each request."""
+"""Number of instances from which cell owners place requests. Fewer instances
+receive all loads in time, and owners would only add a message per request."""
 
-ANSWER_S = 0.03
-"""Silence after an ask from which on the own view decides: longer than a busy
-owner in another availability zone takes."""
+ANSWER_TIMEOUT_S = 0.03
+"""Timeout for the first answer to a request, after which this instance places
+the request itself; longer than a busy owner in another availability zone takes.
+"""
 
-ASK_AGAIN_S = 0.3
-"""How often an owner is asked again while requests wait there. Asked more often
-by a hundred instances it has no time left to decide."""
+WAITING_UPDATE_INTERVAL_S = 0.3
+"""Interval at which updates are repeated while requests wait at the owner. With
+a hundred instances, a shorter interval leaves the owner no time for placing."""
 
-OWNER_SILENCE_S = 0.8
-"""Silence of an owner at which requests wait, after which the own view decides:
-two lost datagrams in a row are rarer than an owner that has died."""
+OWNER_TIMEOUT_S = 0.8
+"""Timeout for an owner at which requests wait, after which this instance places
+them itself. Two lost datagrams in a row are rarer than a crashed owner."""
 
-SPARE_S = 0.5
-"""How long a silent owner is not asked again, so that one that stands still for
-a second costs an instance two timeouts and not one for each request."""
+OWNER_BACKOFF_S = 0.5
+"""How long an unresponsive owner gets no requests. If it hangs for a second, it
+costs an instance two timeouts instead of one per request."""
 
-GATHER_S = 0.02
-"""How long first events and ends are gathered before the owner is told: the
-reading that it takes for under way is too much by that time at most."""
+BATCH_S = 0.02
+"""How long first events and ends of requests are batched before the owner gets
+them. Its counts of tokens pending prefill lag by that much."""
 
-REPEATS = 2
-"""How often an owner is told again that nothing is left. With the only such
-datagram lost it goes on counting what has ended."""
+EMPTY_UPDATE_REPEATS = 2
+"""Number of times that an update without any entries is repeated. If the only
+one were lost, the owner would go on counting requests that have ended."""
 
-MOST_ASKS = 64
-"""Requests of one instance that wait at a cell; the own view decides for more.
-All are named in each datagram, some 250 bytes each, and one must hold them."""
+MAX_WAITING_PER_CELL = 64
+"""Maximum requests of one instance that wait at a cell; it places further ones
+itself. All of them, some 250 bytes each, must fit into one datagram."""
 
-TICK_S = 0.1
-"""How often owners are judged, and cells looked at of which to tell again."""
+CHECK_INTERVAL_S = 0.1
+"""Interval of the checks for unresponsive owners and due updates."""
 
-RENEW_S = 1.0
-"""How often an owner is told of runs at which nothing changes."""
+UPDATE_INTERVAL_S = 1.0
+"""Interval at which an update is repeated if no request has changed."""
 
 
 @dataclasses.dataclass(eq=False)
-class _Ask:
-    """A request that asks for a place.
+class _PendingRequest:
+    """A request for which a placement was requested.
 
     Attributes:
-        number: Its number; its run gets the same.
+        number: Number of the request; its run gets the same.
         call: The request.
-        avoid: Servers that it must not go to.
-        cell: Where it asks.
-        owner: The instance that it asks.
-        answer: The owner's last word.
-        news: Is set with each word, and once the owner is given up.
-        lost: Whether the owner was given up.
-        passed: Whether it was passed on from another cell.
+        avoid: Servers that must not be chosen.
+        cell: The cell at which the placement is requested.
+        owner: The instance that owns the cell.
+        answer: The owner's latest answer.
+        changed: Set on each answer, and when the owner is found unresponsive.
+        owner_failed: Whether the owner was found unresponsive.
+        passed: Whether another cell's owner has redirected the request.
     """
 
     number: int
@@ -103,20 +105,20 @@
     cell: Cell
     owner: Member
     answer: PlaceAnswer | None = None
-    news: anyio.Event = dataclasses.field(default_factory=anyio.Event)
-    lost: bool = False
+    changed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    owner_failed: bool = False
     passed: bool = False
 
 
 @dataclasses.dataclass
-class _Told:
-    """What an instance keeps of a cell that it has told something.
+class _UpdateState:
+    """Progress of the updates about one cell.
 
     Attributes:
-        at: Steady time of the last datagram; minus infinity if a new one is
-            due.
-        owner: Who got it.
-        repeats: How often it is still to be told that nothing is left.
+        at: Monotonic time of the latest update; minus infinity if a new one is
+            due at once.
+        owner: The instance that got it.
+        repeats: Number of updates without entries that are still to be sent.
     """
 
     at: float = float("-inf")
@@ -125,7 +127,10 @@
 
 
 class AskingRoom:
-    """Gives places as a waiting room does, from the cells' owners."""
+    """Places requests through the cells' owners.
+
+    Has the interface of the local queue, which it uses where no owner decides.
+    """
 
     def __init__(
         self,
@@ -136,44 +141,46 @@
         local: WaitingRoom,
         counters: Counters,
     ):
-        """Makes the room of an instance that knows no other yet.
+        """Creates a client that knows no other instance yet.
 
         Args:
-            own: This instance.
+            own: Id of this instance.
             peers: Its address for datagrams.
             registry: Configuration and servers.
-            dispatcher: Decides where no owner does.
-            local: Where requests wait that no owner places.
+            dispatcher: Places requests where no owner does.
+            local: Queue of the requests that this instance places itself.
             counters: Counts events.
         """
         self._own = own
-        self._peers = peers
+        self._address = peers
         self._registry = registry
         self._dispatcher = dispatcher
         self._local = local
         self._counters = counters
-        self._asks: dict[int, _Ask] = {}
-        self._told: dict[Cell, _Told] = {}
-        self._former: dict[tuple[Cell, str], int] = {}
-        self._ended: dict[Cell, list[EndWord]] = {}
-        self._dirty = anyio.Event()
+        self._pending: dict[int, _PendingRequest] = {}
+        self._updates: dict[Cell, _UpdateState] = {}
+        self._former_owners: dict[tuple[Cell, str], int] = {}
+        self._ends: dict[Cell, list[EndWord]] = {}
+        self._wake = anyio.Event()
         self._live: dict[str, Member] = {}
         self._owners: dict[Cell, Member | None] = {}
-        self._heard: dict[str, float] = {}
-        self._spared: dict[str, float] = {}
+        self._owner_seen_at: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self.active = False
-        self.send: Callable[[Member, PlaceWord], None] = lambda to, word: None
+        self.send: Callable[[Member, PlaceWord], None] = lambda to, message: (
+            None
+        )
 
     def __len__(self) -> int:
-        return len(self._asks) + len(self._local)
+        return len(self._pending) + len(self._local)
 
     def saw_instances(self, known: int, live: Sequence[Member]) -> None:
-        """Notes the instances there are.
+        """Sets the current instances.
 
         Args:
-            known: How many are known, failed ones included: a site that loses
-                half of its instances goes on in the same way.
-            live: Those that take callers.
+            known: Number of known instances, including failed ones, so that a
+                site which loses half of its instances keeps using owners.
+            live: Instances that accept requests.
         """
         self.active = known >= OWNERS_FROM
         members = {member.instance: member for member in live}
@@ -181,32 +188,34 @@
             return
         self._owners.clear()
         self._live = members
-        for name in (self._heard.keys() | self._spared.keys()) - members.keys():
-            self._heard.pop(name, None)
-            self._spared.pop(name, None)
+        for name in (
+            self._owner_seen_at.keys() | self._backoff_until.keys()
+        ) - members.keys():
+            self._owner_seen_at.pop(name, None)
+            self._backoff_until.pop(name, None)
 
     async def enter(self, call: Call, avoid: frozenset[str]) -> Seat:
-        """Waits for a place.
+        """Waits for a placement.
 
         Raises:
-            NoRoomError: if there will be none in time.
+            NoRoomError: if none will be available in time.
         """
-        ask = self._new_ask(call, avoid)
-        if ask is None:
+        pending = self._new_pending(call, avoid)
+        if pending is None:
             return await self._local.enter(call, avoid)
-        self._asks[ask.number] = ask
-        self._tell(ask.cell)
+        self._pending[pending.number] = pending
+        self._send_update(pending.cell)
         seat = None
         try:
-            seat = await self._answered(ask)
+            seat = await self._await_placement(pending)
         finally:
-            del self._asks[ask.number]
+            del self._pending[pending.number]
             if seat is None:
-                self._touch(ask.cell)
+                self._mark_due(pending.cell)
         return seat or await self._local.enter(call, avoid)
 
     def owners(self) -> list[Member]:
-        """Returns the other instances that decide for cells."""
+        """Returns the other instances that own cells."""
         found = {}
         for cell in list(self._owners):
             owner = self._owner(cell)
@@ -215,47 +224,49 @@
         return list(found.values())
 
     def placer_of(self, server: str) -> str | None:
-        """Returns the instance that places requests at a server, if one does.
+        """Returns the id of the instance that places requests at a server.
 
-        None where each instance places its own.
+        None if each instance places its own requests there.
         """
         cell = self._cell_of(server) if self.active else None
         owner = self._owner(cell) if cell is not None else None
         return owner.instance if owner is not None else None
 
     def freed(self, service: str) -> None:
-        """Notes that a server of a service has room again."""
+        """Handles freed capacity at a server of a service."""
         self._local.freed(service)
         if self.active:
-            self._dirty.set()
-
-    def hear(self, word: OwnerWord) -> None:
-        """Takes an owner's answers."""
-        self._heard[word.sender] = time.monotonic()
-        self._spared.pop(word.sender, None)
-        for answer in word.answers:
-            ask = self._asks.get(answer.number)
-            if ask is not None and ask.owner.instance == word.sender:
-                ask.answer = answer
-                ask.news.set()
+            self._wake.set()
+
+    def hear(self, message: OwnerWord) -> None:
+        """Processes answers from an owner."""
+        self._owner_seen_at[message.sender] = time.monotonic()
+        self._backoff_until.pop(message.sender, None)
+        for answer in message.answers:
+            pending = self._pending.get(answer.number)
+            if pending is not None and pending.owner.instance == message.sender:
+                pending.answer = answer
+                pending.changed.set()
 
     async def run(self) -> None:
-        """Tells owners what changes until cancelled."""
-        ticked = 0.0
+        """Sends updates to owners until cancelled."""
+        checked_at = 0.0
         while True:
-            with anyio.move_on_after(TICK_S):
-                await self._dirty.wait()
-            await anyio.sleep(GATHER_S)
-            self._dirty = anyio.Event()
+            with anyio.move_on_after(CHECK_INTERVAL_S):
+                await self._wake.wait()
+            await anyio.sleep(BATCH_S)
+            self._wake = anyio.Event()
             now = time.monotonic()
-            due = self._changed()
-            if now - ticked >= TICK_S:
-                ticked = now
-                due |= self._due(now)
+            due = self._changed_cells()
+            if now - checked_at >= CHECK_INTERVAL_S:
+                checked_at = now
+                due |= self._due_cells(now)
             for cell in due:
-                self._tell(cell)
+                self._send_update(cell)
 
-    def _new_ask(self, call: Call, avoid: frozenset[str]) -> _Ask | None:
+    def _new_pending(
+        self, call: Call, avoid: frozenset[str]
+    ) -> _PendingRequest | None:
         if not self.active or not self._has_owners(call.service):
             return None
         count = len(cells.cells_of(self._registry.ids_of(call.service)))
@@ -263,18 +274,21 @@
             return None
         shared = call.prompt.shared if call.prompt is not None else ()
         key = shared[-1].id if shared else call.id
-        cell = (call.service, cells.home(key, count))
+        cell = (call.service, cells.cell_of_key(key, count))
         owner = self._owner(cell)
         if owner is None:
             return None
-        if time.monotonic() < self._spared.get(owner.instance, 0.0):
+        if time.monotonic() < self._backoff_until.get(owner.instance, 0.0):
             self._counters.incr("place.owner_spared")
             return None
-        if sum(ask.cell == cell for ask in self._asks.values()) >= MOST_ASKS:
+        if (
+            sum(pending.cell == cell for pending in self._pending.values())
+            >= MAX_WAITING_PER_CELL
+        ):
             self._counters.incr("place.too_many")
             return None
         number = self._dispatcher.workload.new_number()
-        return _Ask(number, call, avoid, cell, owner)
+        return _PendingRequest(number, call, avoid, cell, owner)
 
     def _owner(self, cell: Cell) -> Member | None:
         if cell not in self._owners:
@@ -282,75 +296,79 @@
             self._owners[cell] = self._live.get(name) if name else None
         return self._owners[cell]
 
-    async def _answered(self, ask: _Ask) -> Seat | None:
-        """Waits for an ask's end; None if the own view must decide."""
-        while await self._heard_of(ask):
-            answer = ask.answer
+    async def _await_placement(self, pending: _PendingRequest) -> Seat | None:
+        """Waits for the owner's decision; None if there will be none."""
+        while await self._await_answer(pending):
+            answer = pending.answer
             if answer.state == REFUSED:
                 self._counters.incr("place.refused")
                 raise NoRoomError(answer.why, retry_s=answer.retry_ms / MS)
             if answer.state == PLACED:
-                return self._seat(ask, answer)
-            if answer.state == ELSEWHERE and self._pass_on(ask, answer.cell):
+                return self._reserve(pending, answer)
+            if answer.state == ELSEWHERE and self._redirect(
+                pending, answer.cell
+            ):
                 continue
             if answer.state != WAITING:
                 self._counters.incr("place.foreign_cell")
                 return None
-            ask.news = anyio.Event()
+            pending.changed = anyio.Event()
         return None
 
-    async def _heard_of(self, ask: _Ask) -> bool:
-        """Waits for an owner's word; returns whether there is one."""
-        if ask.answer is None:
-            with anyio.move_on_after(ANSWER_S):
-                await ask.news.wait()
-            if ask.answer is None and not ask.lost:
-                self._give_up(ask.owner, ask)
+    async def _await_answer(self, pending: _PendingRequest) -> bool:
+        """Waits for an answer; returns whether the owner is responsive."""
+        if pending.answer is None:
+            with anyio.move_on_after(ANSWER_TIMEOUT_S):
+                await pending.changed.wait()
+            if pending.answer is None and not pending.owner_failed:
+                self._mark_unresponsive(pending.owner, pending)
         else:
-            await ask.news.wait()
-        return not ask.lost
+            await pending.changed.wait()
+        return not pending.owner_failed
 
-    def _pass_on(self, ask: _Ask, number: int) -> bool:
-        """Asks another cell; returns whether it has an owner."""
-        cell = (ask.call.service, number)
+    def _redirect(self, pending: _PendingRequest, number: int) -> bool:
+        """Moves a request to another cell; returns whether that is possible."""
+        cell = (pending.call.service, number)
         owner = self._owner(cell)
-        if ask.passed or owner is None:
+        if pending.passed or owner is None:
             return False
         self._counters.incr("place.passed")
-        self._touch(ask.cell)
-        ask.cell = cell
-        ask.owner = owner
-        ask.passed = True
-        ask.answer = None
-        ask.news = anyio.Event()
-        self._tell(cell)
+        self._mark_due(pending.cell)
+        pending.cell = cell
+        pending.owner = owner
+        pending.passed = True
+        pending.answer = None
+        pending.changed = anyio.Event()
+        self._send_update(cell)
         return True
 
-    def _seat(self, ask: _Ask, answer: PlaceAnswer) -> Seat | None:
+    def _reserve(
+        self, pending: _PendingRequest, answer: PlaceAnswer
+    ) -> Seat | None:
         server = self._registry.server(answer.server)
-        if server is None or server.draining or server.id in ask.avoid:
-            # The owner's list of servers is older than this instance's.
+        if server is None or server.draining or server.id in pending.avoid:
+            # The owner's list of servers is older than the local one.
             self._counters.incr("place.stale_server")
             return None
         source = self._registry.server(answer.source)
         placed = Placed(server, answer.unread, answer.memory, False, source)
-        run = self._dispatcher.reserve(ask.call, placed, ask.number)
+        run = self._dispatcher.reserve(pending.call, placed, pending.number)
         self._counters.incr("place.placed")
-        return Seat(placed, run, ask.owner.instance)
+        return Seat(placed, run, pending.owner.instance)
 
-    def _give_up(self, owner: Member, *asks: _Ask) -> None:
+    def _mark_unresponsive(self, owner: Member, *asks: _PendingRequest) -> None:
         self._counters.incr("place.owner_silent")
-        self._spared[owner.instance] = time.monotonic() + SPARE_S
-        for ask in asks:
-            ask.lost = True
-            ask.news.set()
+        self._backoff_until[owner.instance] = time.monotonic() + OWNER_BACKOFF_S
+        for pending in asks:
+            pending.owner_failed = True
+            pending.changed.set()
 
-    def _touch(self, cell: Cell) -> None:
-        self._told.setdefault(cell, _Told()).at = float("-inf")
-        self._dirty.set()
+    def _mark_due(self, cell: Cell) -> None:
+        self._updates.setdefault(cell, _UpdateState()).at = float("-inf")
+        self._wake.set()
 
-    def _changed(self) -> set[Cell]:
-        """Returns the cells at whose servers something began or ended."""
+    def _changed_cells(self) -> set[Cell]:
+        """Returns the cells with requests that have started or ended."""
         workload = self._dispatcher.workload
         if not self.active:
             workload.touched.clear()
@@ -360,7 +378,7 @@
         for end in workload.ended:
             cell = self._cell_of(end.server)
             if cell is not None:
-                self._ended.setdefault(cell, []).append(end_word(end))
+                self._ends.setdefault(cell, []).append(request_end(end))
                 found.add(cell)
         workload.ended.clear()
         for server in workload.touched:
@@ -370,23 +388,33 @@
         workload.touched.clear()
         found.update(
             cell
-            for cell, told in self._told.items()
-            if told.at == float("-inf")
+            for cell, update_state in self._updates.items()
+            if update_state.at == float("-inf")
         )
         return found
 
-    def _due(self, now: float) -> set[Cell]:
-        """Judges owners, and returns the cells of which to tell again."""
-        self._judge(now)
-        self._take_leave()
+    def _due_cells(self, now: float) -> set[Cell]:
+        """Checks owners and returns the cells whose periodic update is due."""
+        self._check_owners(now)
+        self._clear_former_owners()
         found = set()
-        asking = {ask.cell for ask in self._asks.values()}
-        for cell, told in list(self._told.items()):
+        waiting_cells = {pending.cell for pending in self._pending.values()}
+        for cell, update_state in list(self._updates.items()):
             owner = self._owner(cell)
-            moved = owner is not None and owner.instance != told.owner
-            last = told.repeats < REPEATS
-            renew_s = ASK_AGAIN_S if cell in asking else RENEW_S
-            if moved or last or now - told.at >= renew_s:
+            owner_changed = (
+                owner is not None and owner.instance != update_state.owner
+            )
+            repeat_due = update_state.repeats < EMPTY_UPDATE_REPEATS
+            interval_s = (
+                WAITING_UPDATE_INTERVAL_S
+                if cell in waiting_cells
+                else UPDATE_INTERVAL_S
+            )
+            if (
+                owner_changed
+                or repeat_due
+                or now - update_state.at >= interval_s
+            ):
                 found.add(cell)
         silent = (
             self._cell_of(run.server)
@@ -396,86 +424,95 @@
         found.update(cell for cell in silent if cell is not None)
         return found if self.active else set()
 
-    def _judge(self, now: float) -> None:
-        for ask in list(self._asks.values()):
-            owner = self._owner(ask.cell)
-            if owner is not None and owner.instance != ask.owner.instance:
-                # Another instance owns the cell now; it is told of the ask.
-                ask.owner = owner
-                self._heard[owner.instance] = now
+    def _check_owners(self, now: float) -> None:
+        """Reassigns requests to new owners and finds unresponsive ones."""
+        for pending in list(self._pending.values()):
+            owner = self._owner(pending.cell)
+            if owner is not None and owner.instance != pending.owner.instance:
+                # Ownership has changed; the next update goes to the new owner.
+                pending.owner = owner
+                self._owner_seen_at[owner.instance] = now
                 continue
-            heard = self._heard.get(ask.owner.instance, now)
-            if ask.answer is not None and now - heard > OWNER_SILENCE_S:
-                self._give_up(ask.owner, ask)
+            seen_at = self._owner_seen_at.get(pending.owner.instance, now)
+            if pending.answer is not None and now - seen_at > OWNER_TIMEOUT_S:
+                self._mark_unresponsive(pending.owner, pending)
 
-    def _tell(self, cell: Cell) -> None:
+    def _send_update(self, cell: Cell) -> None:
+        """Sends all requests waiting or in flight at a cell to its owner."""
         owner = self._owner(cell)
         if owner is None:
             return
         now = time.monotonic()
-        runs = self._runs_of(cell)
-        asks = [ask for ask in self._asks.values() if ask.cell == cell]
-        self._note_told(cell, owner, now, held=bool(runs or asks))
-        word = PlaceWord(
+        runs = self._runs_at(cell)
+        asks = [
+            pending
+            for pending in self._pending.values()
+            if pending.cell == cell
+        ]
+        self._record_update(cell, owner, now, held=bool(runs or asks))
+        message = PlaceWord(
             self._own,
-            self._peers,
+            self._address,
             *cell,
             self._next_number(),
-            [ask_word(x.number, x.call, x.avoid, x.passed, now) for x in asks],
-            [run_word(run) for run in runs],
-            self._ended.pop(cell, []),
-            self._token_words({run.server for run in runs}, now),
+            [
+                placement_request(x.number, x.call, x.avoid, x.passed, now)
+                for x in asks
+            ],
+            [in_flight_request(run) for run in runs],
+            self._ends.pop(cell, []),
+            self._observations({run.server for run in runs}, now),
         )
         self._counters.incr("place.told")
-        self.send(owner, word)
+        self.send(owner, message)
 
-    def _note_told(
+    def _record_update(
         self, cell: Cell, owner: Member, now: float, *, held: bool
     ) -> None:
-        before = self._told.get(cell, _Told())
-        if before.owner not in ("", owner.instance):
-            self._former[cell, before.owner] = REPEATS + 1
-        self._former.pop((cell, owner.instance), None)
-        repeats = REPEATS if held else before.repeats - 1
+        previous = self._updates.get(cell, _UpdateState())
+        if previous.owner not in ("", owner.instance):
+            self._former_owners[cell, previous.owner] = EMPTY_UPDATE_REPEATS + 1
+        self._former_owners.pop((cell, owner.instance), None)
+        repeats = EMPTY_UPDATE_REPEATS if held else previous.repeats - 1
         if repeats < 0:
-            self._told.pop(cell, None)
+            self._updates.pop(cell, None)
         else:
-            self._told[cell] = _Told(now, owner.instance, repeats)
+            self._updates[cell] = _UpdateState(now, owner.instance, repeats)
 
-    def _take_leave(self) -> None:
-        """Tells former owners that nothing here is theirs to know any more.
+    def _clear_former_owners(self) -> None:
+        """Notifies former owners that they have no requests left to count.
 
-        Views may change back within the time for which they would count it.
+        Ownership may return to them before the old entries expire there.
         """
-        for (cell, name), repeats in list(self._former.items()):
+        for (cell, name), repeats in list(self._former_owners.items()):
             former = self._live.get(name)
             if former is None or not repeats:
-                del self._former[cell, name]
+                del self._former_owners[cell, name]
                 continue
-            self._former[cell, name] = repeats - 1
+            self._former_owners[cell, name] = repeats - 1
             number = self._next_number()
             self.send(
                 former,
                 PlaceWord(
-                    self._own, self._peers, *cell, number, [], [], [], []
+                    self._own, self._address, *cell, number, [], [], [], []
                 ),
             )
 
     def _next_number(self) -> int:
-        # One sequence for all cells, so that a cell which was forgotten
-        # here goes on where it was.
+        # All cells share one sequence, so numbers keep increasing for a
+        # cell whose state was dropped here.
         return self._dispatcher.workload.new_number()
 
     def _has_owners(self, service: str) -> bool:
-        """Whether owners place a service's requests.
+        """Returns whether cell owners place the requests of a service.
 
-        Not those of a plain one: it has few servers, so few owners, to which
-        all of the deployment's requests would be told. Its servers queue what
-        they cannot take at once, and a request takes little of them.
+        Plain services have none: with few servers they would have few owners,
+        which would get messages about all requests of the deployment. Their
+        servers queue excess requests, and each request needs little of them.
         """
         return self._dispatcher.engine_of(service) is not None
 
-    def _runs_of(self, cell: Cell) -> list[Run]:
+    def _runs_at(self, cell: Cell) -> list[Run]:
         return [
             run
             for run in self._dispatcher.workload.runs.values()
@@ -490,19 +527,19 @@
         number = cells.number_of(name, ids)
         return None if number is None else (server.service, number)
 
-    def _token_words(
+    def _observations(
         self, servers: Iterable[str], now: float
     ) -> list[TokenWord]:
-        words = []
+        observations = []
         paces = self._dispatcher.paces
         for name in servers:
             token_s = paces.own_s(name, now) or 0.0
             step_s = paces.undisturbed_s(name) or 0.0
             silent = self._dispatcher.silent(name, now)
             if token_s or step_s or silent:
-                words.append(
+                observations.append(
                     TokenWord(
                         name, round(US * token_s), round(US * step_s), silent
                     )
                 )
-        return words
+        return observations
--- a/src/jasminerelay/cells.py
+++ b/src/jasminerelay/cells.py
@@ -1,11 +1,12 @@
-"""Cells: small groups of a service's servers that one instance decides for.
-
-Pure. With dozens of instances each hears of another's placings a second late,
-and in that second several of them fill the same server. So each cell has one
-owner among the instances, found by hashing over the living, which places all
-requests for the cell's servers by what it has itself placed there. A cell is
-small, so that the owner's work stays constant however many servers there are,
-and large enough to be split between kinds of work.
+"""Cells: small groups of servers whose requests one instance places.
+
+Does no I/O. With dozens of instances, each learns of the others' placements up
+to a second late, and within that second several of them would fill the same
+server. Each cell therefore has one owner, which rendezvous hashing picks among
+the live instances. The owner places all requests for the cell's servers, by the
+placements that it has made itself. Cells are small, so that an owner's work
+stays constant as servers are added, but large enough for their servers to be
+split between kinds of work.
 """
 
 import functools
@@ -21,53 +22,55 @@
 
 MS = 1e3
 
-CELL_SERVERS = 8
-"""Most servers of a cell. Its owner places some 40 requests a second at the
-rates known; fewer servers could not be split between three kinds of work."""
+MAX_SERVERS_PER_CELL = 8
+"""Maximum servers per cell. At the expected rates the owner places some 40
+requests per second; fewer servers could not be split between three kinds of
+work."""
 
-MOST_PROBES = 32
-"""Cells at which a server looks for room by hashing; the last few servers find
-most cells full, and take the first one that is not."""
+MAX_PROBES = 32
+"""Maximum hash probes for a cell with free capacity. The last few servers find
+most cells full and then take the first one that isn't."""
 
 JUMP_MULTIPLIER = 2862933555777941757
 MASK_64 = (1 << 64) - 1
 
-QUEUE_LIFE_S = 1.0
-"""How long an owner's word on its queue counts; it is told each 0.1 s."""
+QUEUE_MAX_AGE_S = 1.0
+"""Maximum age of an owner's queue estimate, which is published every 0.1 s."""
 
 Cell = tuple[str, int]
-"""Service and number of a cell."""
+"""Service and cell number."""
 
 
 def cells_of(servers: Iterable[str]) -> tuple[tuple[str, ...], ...]:
-    """Returns a service's servers by cell.
+    """Groups a service's servers into cells.
 
-    Each server goes to the first cell in its own order that has room, so that
-    cells are even, and that few servers change cells when one comes or goes.
+    Each server takes the first cell with free capacity in its own probe order,
+    so that cells have similar sizes and few servers change cells when one is
+    added or removed.
 
-    >>> sorted(len(cell) for cell in cells_of(str(n) for n in range(20)))
-    [6, 7, 7]
+        >>> sorted(len(cell) for cell in cells_of(str(n) for n in range(20)))
+        [6, 7, 7]
     """
     return _cells(tuple(sorted(servers)))
 
 
 def number_of(server: str, servers: Iterable[str]) -> int | None:
-    """Returns the cell of a server; None if it is none of the servers."""
+    """Returns a server's cell number; None if it is not among the servers."""
     return _numbers(tuple(sorted(servers))).get(server)
 
 
-def home(key: str, count: int) -> int:
-    """Returns the cell, of some number of cells, where a key belongs."""
-    return int(rendezvous.owner(key, _names(count)))
+def cell_of_key(key: str, count: int) -> int:
+    """Returns the cell, out of `count`, to which a key hashes."""
+    return int(rendezvous.owner(key, _cell_names(count)))
 
 
 def owner(service: str, cell: int, instances: Sequence[str]) -> str | None:
-    """Returns the instance that decides for a cell; None if there is none."""
+    """Returns the instance that owns a cell; None if there are no instances."""
     return rendezvous.owner(f"{service}/{cell}", instances)
 
 
 class CellServers:
-    """The servers of one cell, in the place of a registry of all."""
+    """The servers of one cell, with the interface of the registry."""
 
     def __init__(self, registry: Registry, service: str, cell: int):
         self._registry = registry
@@ -76,17 +79,17 @@
 
     @property
     def catalog(self) -> Catalog | None:
-        """The configuration in force."""
+        """The current configuration."""
         return self._registry.catalog
 
     @property
-    def known(self) -> bool:
-        """Whether the service has so many cells."""
+    def exists(self) -> bool:
+        """Whether the service has this cell."""
         ids = self._registry.ids_of(self._service)
         return 0 <= self._cell < len(cells_of(ids))
 
     def servers_of(self, service: str) -> list[BackendServer]:
-        """Returns the cell's servers that take new work."""
+        """Returns the cell's servers that accept new requests."""
         if service != self._service:
             return []
         split = cells_of(self._registry.ids_of(service))
@@ -97,28 +100,28 @@
 
 
 class QueueView:
-    """How long the queues at cells are, by what their owners tell."""
+    """Queue estimates for all cells, as published by their owners."""
 
     def __init__(self) -> None:
         self._queues: dict[Cell, dict[str, float]] = {}
-        self._heard: dict[Cell, float] = {}
+        self._updated_at: dict[Cell, float] = {}
 
     def hear(self, queues: Iterable[CellQueue], now: float) -> None:
-        """Takes an owner's word."""
+        """Stores an owner's queue estimates."""
         for item in queues:
             cell = (item.service, item.cell)
             self._queues.setdefault(cell, {})[item.kind] = item.ahead_ms / MS
-            self._heard[cell] = now
+            self._updated_at[cell] = now
 
     def shortest(
         self, cell: Cell, kind: str, now: float
     ) -> tuple[int, float] | None:
-        """Returns the cell with the shortest queue and the time it takes.
+        """Returns the cell with the shortest queue, and its estimated wait.
 
         Args:
-            cell: A cell of the service that is left out.
+            cell: A cell of the service, which is excluded.
             kind: The kind of work.
-            now: Steady time.
+            now: Monotonic time.
         """
         found = [
             (queues[kind], other[1])
@@ -126,17 +129,18 @@
             if other[0] == cell[0]
             and other != cell
             and kind in queues
-            and now - self._heard[other] < QUEUE_LIFE_S
+            and now - self._updated_at[other] < QUEUE_MAX_AGE_S
         ]
         if not found:
             return None
         ahead_s, number = min(found)
         return number, ahead_s
 
-    def sent(self, cell: Cell, kind: str, busy_s: float) -> None:
-        """Notes work sent to a cell, until its owner's next word.
+    def add(self, cell: Cell, kind: str, busy_s: float) -> None:
+        """Adds redirected work to a cell's estimate until the next one arrives.
 
-        Without it all that is passed on between two words goes to one cell.
+        Otherwise all requests that are redirected between two estimates would
+        go to the same cell.
         """
         self._queues[cell][kind] += busy_s
 
@@ -145,11 +149,13 @@
 def _cells(servers: tuple[str, ...]) -> tuple[tuple[str, ...], ...]:
     if not servers:
         return ()
-    count = math.ceil(len(servers) / CELL_SERVERS)
-    room = math.ceil(len(servers) / count)
+    count = math.ceil(len(servers) / MAX_SERVERS_PER_CELL)
+    capacity = math.ceil(len(servers) / count)
     cells: list[list[str]] = [[] for _ in range(count)]
     for server in servers:
-        chosen = next(x for x in _order(server, count) if len(cells[x]) < room)
+        chosen = next(
+            x for x in _probe_order(server, count) if len(cells[x]) < capacity
+        )
         cells[chosen].append(server)
     return tuple(tuple(cell) for cell in cells)
 
@@ -163,22 +169,22 @@
     }
 
 
-def _order(server: str, count: int) -> Iterator[int]:
-    """Yields the cells in the order in which a server looks for room.
+def _probe_order(server: str, count: int) -> Iterator[int]:
+    """Yields the cells in the order in which a server probes them.
 
-    Hashed one at a time: to rank all cells for each server takes the square of
-    the servers, seconds of the processor where there are thousands.
+    Lazily: ranking all cells for each server takes quadratic time, which is
+    seconds of CPU time with thousands of servers.
     """
-    for attempt in range(MOST_PROBES):
+    for attempt in range(MAX_PROBES):
         seed = xxhash.xxh64_intdigest(server.encode(), attempt)
         yield _jump(seed, count)
     yield from range(count)
 
 
 def _jump(key: int, count: int) -> int:
-    """Returns a bucket that few keys leave when the count changes.
+    """Returns the bucket of a key; few keys move when the count changes.
 
-    After Lamping and Veach 2014 (jump consistent hash).
+    Jump consistent hash, Lamping and Veach 2014.
     """
     bucket, following = -1, 0
     while following < count:
@@ -188,5 +194,5 @@
     return bucket
 
 
-def _names(count: int) -> list[str]:
+def _cell_names(count: int) -> list[str]:
     return [str(number) for number in range(count)]
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -1,4 +1,4 @@
-"""All cells that one instance decides for, and their words to the others."""
+"""Owners of all cells for which this instance places requests."""
 
 import time
 
@@ -9,7 +9,7 @@
 from jasminerelay.enginemodel import EngineModels
 from jasminerelay.lengths import Lengths
 from jasminerelay.metrics import Counters
-from jasminerelay.owning import Answer, CellOwner
+from jasminerelay.owning import CellOwner, SendAnswers
 from jasminerelay.placewords import FOREIGN
 from jasminerelay.prefix import CacheView
 from jasminerelay.registry import Registry
@@ -25,21 +25,22 @@
 from jasminerelay.silences import ToldSilences
 from jasminerelay.waitingroom import TICK_S
 
-LOOK_S = 0.01
-"""How often places are looked for after a change, while anyone waits. Looked
-for with each datagram, they took most of an owner's processor under a burst."""
+SCAN_INTERVAL_S = 0.01
+"""Minimum interval between scans for placements after a change, while any
+request waits. When each datagram caused a scan, scans took most of an owner's
+CPU time during bursts."""
 
-LOOK_SHARE = 0.2
-"""Most of the processor that looking may take. An owner that does nothing else
-answers nobody in time, and the others, which then decide by their own views,
-overfill its servers."""
+MAX_SCAN_SHARE = 0.2
+"""Maximum share of CPU time spent on scans. An owner that does nothing else
+answers too late; the other instances then place their requests themselves and
+overload its servers."""
 
-IDLE_TICK_S = 0.03
-"""How often it is looked whether anyone waits."""
+IDLE_CHECK_INTERVAL_S = 0.03
+"""Interval of the checks for waiting requests while none waits."""
 
 
 class OwnedCells:
-    """All cells that this instance has been asked to decide for."""
+    """All cells whose owner this instance is, or was taken for."""
 
     def __init__(
         self,
@@ -51,17 +52,17 @@
         counters: Counters,
         allowance: Allowance | None = None,
     ):
-        """Makes an instance that owns nothing yet.
+        """Creates an instance without any cells.
 
         Args:
-            own: This instance.
+            own: Id of this instance.
             zone: Its availability zone.
             registry: Configuration and all servers.
-            engines: What this instance knows of engines.
-            lengths: What it knows of answers' lengths.
+            engines: Performance models of the engines.
+            lengths: Estimates of output lengths.
             counters: Counts events.
-            allowance: What this instance may send to servers with a limit;
-                None where no server names one.
+            allowance: This instance's share of the servers' rate limits; None
+                if no server has one.
         """
         self._own = own
         self._zone = zone
@@ -73,89 +74,98 @@
         self._cells: dict[tuple[str, int], CellOwner] = {}
         self.queues = QueueView()
         self.on_split: OnSplit = lambda service, groups, demand: None
-        self.answer: Answer = lambda address, word: None
+        self.answer: SendAnswers = lambda address, message: None
 
     def __len__(self) -> int:
         return len(self._cells)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait in all cells."""
-        return sum(len(cell.room) for cell in self._cells.values())
+        """Number of requests that wait in all cells."""
+        return sum(len(cell.queue) for cell in self._cells.values())
 
-    def hear(self, word: PlaceWord) -> None:
-        """Takes all that an instance asks of a cell and has under way there.
+    def hear(self, message: PlaceWord) -> None:
+        """Processes an update: all requests of an instance at a cell.
 
-        Whoever is asked decides, whether it takes itself for the owner or
-        not: while views differ a cell has two, each of which knows only its
-        own askers' runs, and both fill a server at most to its usual bound.
+        The receiver places the requests even if it doesn't consider itself the
+        owner. While views of the live instances differ, a cell has two owners,
+        and each knows only the requests of the instances that send to it. Each
+        fills a server to its usual limit at most.
         """
         now = time.monotonic()
-        key = (word.service, word.cell)
+        key = (message.service, message.cell)
         held = self._cells.get(key)
         if held is None:
-            servers = CellServers(self._registry, word.service, word.cell)
-            if not servers.known:
+            servers = CellServers(self._registry, message.service, message.cell)
+            if not servers.exists:
                 self._counters.incr("place.foreign")
-                foreign = [PlaceAnswer(x.number, FOREIGN) for x in word.asks]
+                foreign = [PlaceAnswer(x.number, FOREIGN) for x in message.asks]
                 self.answer(
-                    word.peers,
-                    OwnerWord(self._own, word.service, word.cell, foreign),
+                    message.peers,
+                    OwnerWord(
+                        self._own, message.service, message.cell, foreign
+                    ),
                 )
                 return
             self._counters.incr("place.owned")
-            held = self._new(word.service, word.cell, servers)
+            held = self._new_owner(message.service, message.cell, servers)
             self._cells[key] = held
         self._counters.incr("place.heard")
-        held.hear(word, now)
+        held.receive(message, now)
 
     def tick(self, now: float) -> None:
-        """Moves the running means on, and drops cells that nobody asks."""
+        """Advances running averages and drops cells without requests."""
         for key, cell in list(self._cells.items()):
             cell.tick(now)
             if cell.idle:
                 del self._cells[key]
 
     async def run(self) -> None:
-        """Looks for places for all who wait until cancelled."""
-        looked = 0.0
-        pause_s = IDLE_TICK_S
+        """Scans for placements of all waiting requests until cancelled."""
+        scanned_all_at = 0.0
+        pause_s = IDLE_CHECK_INTERVAL_S
         while True:
             await anyio.sleep(pause_s)
             began = time.monotonic()
-            all_due = began - looked >= TICK_S
-            looked = began if all_due else looked
+            all_due = began - scanned_all_at >= TICK_S
+            scanned_all_at = began if all_due else scanned_all_at
             for cell in list(self._cells.values()):
                 if all_due or cell.changed:
                     cell.changed = False
-                    cell.room.look()
-            took_s = time.monotonic() - began
-            least_s = LOOK_S if self.waiting else IDLE_TICK_S
-            pause_s = max(least_s, took_s * (1 / LOOK_SHARE - 1))
+                    cell.queue.look()
+            elapsed_s = time.monotonic() - began
+            min_pause_s = (
+                SCAN_INTERVAL_S if self.waiting else IDLE_CHECK_INTERVAL_S
+            )
+            pause_s = max(min_pause_s, elapsed_s * (1 / MAX_SCAN_SHARE - 1))
 
     def look_soon(self) -> None:
-        """Has places looked for at all cells where anyone waits."""
+        """Schedules a scan for placements at all cells."""
         for cell in self._cells.values():
             cell.changed = True
 
     def loads(self, now: float) -> list[ServerLoad]:
-        """Returns what runs at the servers of all owned cells."""
+        """Returns the loads of the servers of all owned cells."""
         return [load for x in self._cells.values() for load in x.loads(now)]
 
     def demand(self) -> list[KindDemand]:
-        """Returns what callers bring to all owned cells."""
+        """Returns the demand at all owned cells."""
         return [kind for x in self._cells.values() for kind in x.demand()]
 
     def told_queues(self) -> list[CellQueue]:
-        """Returns how long new requests would wait at the owned cells."""
-        return [item for x in self._cells.values() for item in x.told_queues()]
+        """Returns the estimated waits of new requests at the owned cells."""
+        return [
+            item for x in self._cells.values() for item in x.queue_estimates()
+        ]
 
     def gone(self, server: str) -> None:
-        """Forgets a server that has ended."""
+        """Removes a server that has ended."""
         for cell in self._cells.values():
             cell.gone(server)
 
-    def _new(self, service: str, cell: int, servers: CellServers) -> CellOwner:
+    def _new_owner(
+        self, service: str, cell: int, servers: CellServers
+    ) -> CellOwner:
         silences = ToldSilences()
         dispatcher = Dispatcher(
             servers,
@@ -176,5 +186,5 @@
             dispatcher,
             silences,
             self.queues,
-            lambda address, word: self.answer(address, word),
+            lambda address, message: self.answer(address, message),
         )
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -1,8 +1,9 @@
-"""The owner's side of a cell: places requests of all instances at its servers.
+"""Places requests of all instances at the servers of one cell.
 
-Pure but for the clock. What an instance asks and has under way comes whole
-with each of its datagrams, so a lost one, or an owner that has just become
-one, is made good by the next. What it leaves out has ended.
+Does no I/O except reading the clock. Each datagram from an instance lists all
+requests that it has waiting or in flight at the cell. The next datagram
+therefore makes up for a lost one, and brings a new owner up to date; requests
+that it doesn't list have ended.
 """
 
 import dataclasses
@@ -19,8 +20,8 @@
     MS,
     US,
     WAITING,
-    answer_word,
     call_of,
+    placement_answer,
 )
 from jasminerelay.schema.messages import (
     CellQueue,
@@ -38,27 +39,27 @@
 from jasminerelay.waitingroom import Waiter, WaitingRoom
 from jasminerelay.workload import Run
 
-ASKER_LIFE_S = 3.0
-"""Silence after which what an instance asked and had under way is dropped.
-While it has anything it sends at least each second; a dead one's connections
-close, so its runs end in about this time."""
+SENDER_TIMEOUT_S = 3.0
+"""Silence of an instance after which its requests are dropped. An instance with
+any requests sends an update at least every second; when it crashes its
+connections close, so its requests end within about this time."""
 
-PASS_GAIN_S = 0.1
-"""Time that another cell must be quicker for a request to be passed on there,
-beside reading the start of its prompt anew: the age of what is known of it."""
+MIN_REDIRECT_GAIN_S = 0.1
+"""Time that a redirected request must save, beyond the repeated prefill of its
+shared prefix. Allows for the age of the other cells' queue estimates."""
 
-Answer = Callable[[str, OwnerWord], None]
+SendAnswers = Callable[[str, OwnerWord], None]
 """Sends answers to an address."""
 
 
 @dataclasses.dataclass(eq=False)
 class _Request:
-    """One request of an instance, from its ask to its end.
+    """A request of another instance, from its placement request to its end.
 
     Attributes:
-        call: What is asked for; None for a run that was placed elsewhere.
-        waiter: Its entry among those who wait; None for such a run.
-        run: Its entry in the ledger, once it has a place.
+        call: The request; None if it was placed elsewhere.
+        waiter: Its queue entry; None if it was placed elsewhere.
+        run: Its in-flight record, once it is placed.
         answer: The owner's answer, once there is one.
     """
 
@@ -69,21 +70,29 @@
 
 
 @dataclasses.dataclass
-class _Asker:
-    """One instance, as an owner sees it."""
+class _Sender:
+    """An instance that has requests at the cell.
+
+    Attributes:
+        peers: Its address for datagrams.
+        number: Number of its latest update.
+        updated_at: Monotonic time of that update.
+        requests: Its requests by number.
+    """
 
     peers: str
     number: int = 0
-    heard: float = 0.0
+    updated_at: float = 0.0
     requests: dict[int, _Request] = dataclasses.field(default_factory=dict)
 
 
 class CellOwner:
-    """Places requests at one cell's servers, for all who ask.
+    """Places requests at the servers of one cell, for all instances.
 
     Attributes:
-        room: Where requests wait.
-        changed: Whether there may be room for them that was not looked at.
+        queue: Queue of the requests that wait for a placement.
+        changed: Whether the queue must be scanned, since capacity was freed or
+            requests arrived.
     """
 
     def __init__(
@@ -95,18 +104,18 @@
         dispatcher: Dispatcher,
         silences: ToldSilences,
         queues: QueueView,
-        answer: Answer,
+        answer: SendAnswers,
     ):
-        """Makes the owner of a cell at which nothing is known to run.
+        """Creates the owner of a cell without any known requests.
 
         Args:
-            own: This instance.
+            own: Id of this instance.
             service: The service.
             cell: Number of the cell.
             registry: The cell's servers.
-            dispatcher: Decides by what runs at the cell, and nothing else.
-            silences: The dispatcher's word on silent servers.
-            queues: What is known of other cells.
+            dispatcher: Places requests by this cell's in-flight requests only.
+            silences: The dispatcher's record of unresponsive servers.
+            queues: Queue estimates of other cells.
             answer: Sends answers.
         """
         self._own = own
@@ -117,8 +126,8 @@
         self._silences = silences
         self._queues = queues
         self._answer = answer
-        self._askers: dict[str, _Asker] = {}
-        self.room = WaitingRoom(
+        self._senders: dict[str, _Sender] = {}
+        self.queue = WaitingRoom(
             dispatcher.place,
             dispatcher.expect,
             dispatcher.busy_s,
@@ -130,44 +139,48 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nobody asks here any more."""
-        return not self._askers
+        """Whether no instance has requests here."""
+        return not self._senders
 
-    def hear(self, word: PlaceWord, now: float) -> None:
-        """Takes all that an instance asks and has under way."""
-        asker = self._askers.setdefault(word.sender, _Asker(word.peers))
-        if word.number <= asker.number:
+    def receive(self, message: PlaceWord, now: float) -> None:
+        """Processes an update: all requests of an instance at this cell."""
+        sender = self._senders.setdefault(
+            message.sender, _Sender(message.peers)
+        )
+        if message.number <= sender.number:
             return
-        asker.number = word.number
-        asker.heard = now
-        self._take_ends(asker, word.ended, now)
-        freed = self._take_runs(asker, word.runs, now)
-        kept = {item.number for item in word.asks}
-        kept.update(item.number for item in word.runs)
-        for number in [item for item in asker.requests if item not in kept]:
-            self._drop(asker.requests.pop(number))
+        sender.number = message.number
+        sender.updated_at = now
+        self._record_ends(sender, message.ended, now)
+        freed = self._update_runs(sender, message.runs, now)
+        kept = {item.number for item in message.asks}
+        kept.update(item.number for item in message.runs)
+        for number in [item for item in sender.requests if item not in kept]:
+            self._drop(sender.requests.pop(number))
             freed = True
-        self._take_tokens(word.tokens, now)
-        self.changed |= freed or bool(word.asks)
-        answers = [self._take_ask(asker, item, now) for item in word.asks]
+        self._record_observations(message.tokens, now)
+        self.changed |= freed or bool(message.asks)
+        answers = [
+            self._handle_request(sender, item, now) for item in message.asks
+        ]
         if answers:
-            self._send(asker, answers)
+            self._send(sender, answers)
 
     def expire(self, now: float) -> None:
-        """Drops what instances had that have fallen silent."""
-        for name, asker in list(self._askers.items()):
-            if now - asker.heard > ASKER_LIFE_S:
-                del self._askers[name]
-                for request in asker.requests.values():
+        """Drops the requests of instances that have stopped sending updates."""
+        for name, sender in list(self._senders.items()):
+            if now - sender.updated_at > SENDER_TIMEOUT_S:
+                del self._senders[name]
+                for request in sender.requests.values():
                     self._drop(request)
 
     def tick(self, now: float) -> None:
-        """Moves the running means on."""
+        """Drops expired requests and advances the running averages."""
         self.expire(now)
         self._dispatcher.tick(now)
 
     def loads(self, now: float) -> list[ServerLoad]:
-        """Returns what all instances have under way at the cell's servers."""
+        """Returns the load of all instances at the cell's servers."""
         found = []
         for server in self._registry.servers_of(self._service):
             load = self._dispatcher.workload.load(server.id)
@@ -184,11 +197,11 @@
         return found
 
     def demand(self) -> list[KindDemand]:
-        """Returns what all instances' callers bring to the cell."""
+        """Returns the demand of all instances at the cell."""
         return self._dispatcher.own_demand()
 
-    def told_queues(self) -> list[CellQueue]:
-        """Returns how long a new request of each kind would wait."""
+    def queue_estimates(self) -> list[CellQueue]:
+        """Returns the estimated wait of a new request, by kind of work."""
         catalog = self._registry.catalog
         return [
             CellQueue(
@@ -201,60 +214,63 @@
         ]
 
     def gone(self, server: str) -> None:
-        """Forgets a server that has ended."""
+        """Removes a server that has ended."""
         self._dispatcher.gone(server)
 
     def _ahead_s(self, kind: str) -> float:
         return self._dispatcher.ahead_s(
-            self._service, kind, self.room.queued_s(kind)
+            self._service, kind, self.queue.queued_s(kind)
         )
 
-    def _take_ask(
-        self, asker: _Asker, ask: PlaceAsk, now: float
+    def _handle_request(
+        self, sender: _Sender, message: PlaceAsk, now: float
     ) -> PlaceAnswer:
-        held = asker.requests.get(ask.number)
+        held = sender.requests.get(message.number)
         if held is not None:
-            return held.answer or self._still(asker, ask, held)
-        call = call_of(ask, self._service, self._registry.catalog, now)
+            return held.answer or self._waiting_answer(sender, message, held)
+        call = call_of(message, self._service, self._registry.catalog, now)
         if call is None:
-            return PlaceAnswer(ask.number, FOREIGN)
-        if ask.first:
+            return PlaceAnswer(message.number, FOREIGN)
+        if message.first:
             self._dispatcher.arrived(call)
         request = _Request(call)
-        asker.requests[ask.number] = request
-        entered = False
+        sender.requests[message.number] = request
+        admitted = False
 
         def settled(waiter: Waiter) -> None:
-            request.answer = answer_word(ask.number, waiter)
+            request.answer = placement_answer(message.number, waiter)
             if waiter.refused is not None:
-                request.answer = self._passed_on(ask, call) or request.answer
+                request.answer = self._redirect(message, call) or request.answer
             if waiter.seat is not None:
                 request.run = waiter.seat.run
-            if entered:
-                self._send(asker, [request.answer])
+            if admitted:
+                self._send(sender, [request.answer])
 
-        request.waiter = self.room.admit(call, frozenset(ask.avoid), settled)
-        entered = True
-        return request.answer or self._still(asker, ask, request)
+        request.waiter = self.queue.admit(
+            call, frozenset(message.avoid), settled
+        )
+        admitted = True
+        return request.answer or self._waiting_answer(sender, message, request)
 
-    def _still(
-        self, asker: _Asker, ask: PlaceAsk, request: _Request
+    def _waiting_answer(
+        self, sender: _Sender, message: PlaceAsk, request: _Request
     ) -> PlaceAnswer:
-        """Answers an ask that waits: go elsewhere, or wait on."""
-        passed = self._passed_on(ask, request.call)
+        """Answers for a waiting request: redirect it, or keep it waiting."""
+        passed = self._redirect(message, request.call)
         if passed is None:
-            return PlaceAnswer(ask.number, WAITING)
-        del asker.requests[ask.number]
+            return PlaceAnswer(message.number, WAITING)
+        del sender.requests[message.number]
         self._drop(request)
         return passed
 
-    def _passed_on(self, ask: PlaceAsk, call: Call) -> PlaceAnswer | None:
-        """Returns the answer to ask another cell, if that is sooner.
+    def _redirect(self, message: PlaceAsk, call: Call) -> PlaceAnswer | None:
+        """Returns a redirect to another cell, if one serves the request sooner.
 
-        Starts of prompts spread evenly over the cells, requests and crashes
-        of servers do not: for seconds one cell has a queue and others none.
+        Shared prefixes are spread evenly over the cells, but requests and
+        server crashes are not: one cell may have a queue for seconds while
+        others have none.
         """
-        if ask.passed or call.prompt is None:
+        if message.passed or call.prompt is None:
             return None
         here = (self._service, self._cell)
         kind = call.route.name
@@ -264,38 +280,38 @@
         cell, there_s = found
         here_s = self._ahead_s(kind)
         speeds = self._dispatcher.engines.of(self._service).speeds()
-        lost_s = speeds.reading_s(call.prompt.shared_tokens)
-        if here_s - there_s < lost_s + PASS_GAIN_S:
+        prefill_s = speeds.reading_s(call.prompt.shared_tokens)
+        if here_s - there_s < prefill_s + MIN_REDIRECT_GAIN_S:
             return None
         servers = len(self._registry.servers_of(self._service))
         busy_s = self._dispatcher.busy_s(call) / max(1, servers)
-        self._queues.sent((self._service, cell), kind, busy_s)
-        return PlaceAnswer(ask.number, ELSEWHERE, cell=cell)
+        self._queues.add((self._service, cell), kind, busy_s)
+        return PlaceAnswer(message.number, ELSEWHERE, cell=cell)
 
-    def _take_runs(
-        self, asker: _Asker, runs: Iterable[RunWord], now: float
+    def _update_runs(
+        self, sender: _Sender, runs: Iterable[RunWord], now: float
     ) -> bool:
-        """Takes what is under way; returns whether more of it is read."""
+        """Updates in-flight requests; returns whether any prefill has ended."""
         freed = False
-        for word in runs:
-            request = asker.requests.get(word.number)
+        for item in runs:
+            request = sender.requests.get(item.number)
             run = request.run if request is not None else None
-            if run is not None and run.server != word.server:
-                self._drop(asker.requests.pop(word.number))
+            if run is not None and run.server != item.server:
+                self._drop(sender.requests.pop(item.number))
                 run = None
             if run is None:
-                # Placed without this owner, or before it was one.
+                # Placed by another instance, or before this one owned the cell.
                 run = self._dispatcher.workload.start(
-                    word.server, word.unread, word.memory
+                    item.server, item.unread, item.memory
                 )
                 request = _Request(run=run)
-                asker.requests[word.number] = request
-            if word.first_ms >= 0 and run.first_s is None:
-                self._note_first(request, run, word.first_ms / MS, now)
+                sender.requests[item.number] = request
+            if item.first_ms >= 0 and run.first_s is None:
+                self._record_first_event(request, run, item.first_ms / MS, now)
                 freed = True
         return freed
 
-    def _note_first(
+    def _record_first_event(
         self, request: _Request, run: Run, first_s: float, now: float
     ) -> None:
         run.read(first_s)
@@ -306,43 +322,45 @@
                 request.call, waiter.seat.placed, run.ahead, first_s
             )
 
-    def _take_ends(
-        self, asker: _Asker, ended: Iterable[EndWord], now: float
+    def _record_ends(
+        self, sender: _Sender, ended: Iterable[EndWord], now: float
     ) -> None:
         health = self._dispatcher.health(self._service)
-        for word in ended:
-            if word.good:
-                health.succeeded(word.server)
-                self._dispatcher.heard(word.server, now)
-            elif word.bad:
-                health.failed(word.server, now)
-            request = asker.requests.get(word.number)
-            if word.output and request is not None and request.call:
+        for item in ended:
+            if item.good:
+                health.succeeded(item.server)
+                self._dispatcher.heard(item.server, now)
+            elif item.bad:
+                health.failed(item.server, now)
+            request = sender.requests.get(item.number)
+            if item.output and request is not None and request.call:
                 self._dispatcher.lengths.observe(
-                    request.call.route.name, word.output
+                    request.call.route.name, item.output
                 )
 
-    def _take_tokens(self, tokens: Iterable[TokenWord], now: float) -> None:
-        for word in tokens:
-            if word.silent:
-                self._silences.told(word.server, now)
-            if word.token_us:
+    def _record_observations(
+        self, tokens: Iterable[TokenWord], now: float
+    ) -> None:
+        for item in tokens:
+            if item.silent:
+                self._silences.told(item.server, now)
+            if item.token_us:
                 self._dispatcher.paces.hear(
-                    word.server, word.token_us / US, now
+                    item.server, item.token_us / US, now
                 )
-            if word.step_us:
+            if item.step_us:
                 self._dispatcher.note_step(
-                    self._service, word.server, word.step_us / US, now
+                    self._service, item.server, item.step_us / US, now
                 )
 
     def _drop(self, request: _Request) -> None:
         if request.waiter is not None:
-            self.room.withdraw(request.waiter)
+            self.queue.withdraw(request.waiter)
         if request.run is not None:
             request.run.end()
 
-    def _send(self, asker: _Asker, answers: list[PlaceAnswer]) -> None:
+    def _send(self, sender: _Sender, answers: list[PlaceAnswer]) -> None:
         self._answer(
-            asker.peers,
+            sender.peers,
             OwnerWord(self._own, self._service, self._cell, answers),
         )
--- a/src/jasminerelay/placewords.py
+++ b/src/jasminerelay/placewords.py
@@ -1,7 +1,7 @@
-"""What instances and owners of cells tell each other, as messages.
+"""Builds and reads the messages between instances and cell owners.
 
-Pure. Messages carry times as spans, since steady clocks of two instances have
-nothing in common, and parts of prompts as hashes.
+Does no I/O. Messages carry times as durations, because the monotonic clocks of
+two instances are unrelated, and parts of prompts as hashes.
 """
 
 from jasminerelay.catalog import Call, Catalog, Prompt, PromptPart
@@ -25,21 +25,21 @@
 MS = 1e3
 US = 1e6
 
-NOT_KNOWN = -1
-"""Stands for a number that there is none of."""
+NO_VALUE = -1
+"""Represents a missing number."""
 
 
-def ask_word(
+def placement_request(
     number: int, call: Call, avoid: frozenset[str], passed: bool, now: float
 ) -> PlaceAsk:
-    """Returns the message that asks for a place.
+    """Returns the message that requests a placement.
 
     Args:
-        number: Names the ask among the instance's.
+        number: Number of the request, unique within the instance.
         call: The request.
-        avoid: Servers that it must not go to.
-        passed: Whether another owner has passed it on.
-        now: Steady time.
+        avoid: Servers that must not be chosen.
+        passed: Whether another owner has redirected the request.
+        now: Monotonic time.
     """
     prompt = call.prompt
     shared = prompt.shared if prompt is not None else ()
@@ -53,9 +53,9 @@
         age_ms=round(MS * (now - call.arrived)),
         left_ms=round(MS * (call.ends - now)),
         avoid=sorted(avoid),
-        own_tokens=prompt.own_tokens if prompt is not None else NOT_KNOWN,
+        own_tokens=prompt.own_tokens if prompt is not None else NO_VALUE,
         max_output=prompt.max_output if prompt is not None else 0,
-        expected_output=NOT_KNOWN if hint is None else hint,
+        expected_output=NO_VALUE if hint is None else hint,
         parts=[part_hash(part.id) for part in shared],
         part_tokens=[part.tokens for part in shared],
         passed=passed,
@@ -63,21 +63,21 @@
 
 
 def call_of(
-    ask: PlaceAsk, service: str, catalog: Catalog | None, now: float
+    request: PlaceAsk, service: str, catalog: Catalog | None, now: float
 ) -> Call | None:
-    """Returns what a place is asked for; None if its route is not known.
+    """Returns the request to place; None if its route is unknown.
 
-    Only what a decision takes is there: no bodies, no headers.
+    It has only the fields that placing needs: no body and no headers.
     """
     routes = catalog.routes if catalog else ()
-    route = next((x for x in routes if x.name == ask.route), None)
+    route = next((x for x in routes if x.name == request.route), None)
     if route is None:
         return None
     return Call(
-        id=ask.call,
+        id=request.call,
         route=route,
         service=service,
-        rank=ask.rank,
+        rank=request.rank,
         urgent=False,
         organisation="",
         method="",
@@ -85,22 +85,22 @@
         target=b"",
         headers=(),
         body=b"",
-        prompt=_prompt_of(ask),
+        prompt=_prompt_of(request),
         last_event="",
-        arrived=now - ask.age_ms / MS,
-        ends=now + ask.left_ms / MS,
+        arrived=now - request.age_ms / MS,
+        ends=now + request.left_ms / MS,
     )
 
 
-def run_word(run: Run) -> RunWord:
-    """Returns the message that tells of a request under way."""
+def in_flight_request(run: Run) -> RunWord:
+    """Returns the message about an in-flight request."""
     first_s = run.first_s
-    first_ms = NOT_KNOWN if first_s is None else round(MS * first_s)
+    first_ms = NO_VALUE if first_s is None else round(MS * first_s)
     return RunWord(run.number, run.server, run.unread, run.memory, first_ms)
 
 
-def end_word(end: End) -> EndWord:
-    """Returns the message that tells of a request's end."""
+def request_end(end: End) -> EndWord:
+    """Returns the message about a request that has ended."""
     return EndWord(
         end.number,
         end.server,
@@ -110,8 +110,8 @@
     )
 
 
-def answer_word(number: int, waiter: Waiter) -> PlaceAnswer:
-    """Returns the answer to an ask that has a place or a refusal."""
+def placement_answer(number: int, waiter: Waiter) -> PlaceAnswer:
+    """Returns the answer for a request that was placed or refused."""
     if waiter.refused is not None:
         return PlaceAnswer(
             number,
@@ -130,17 +130,17 @@
     )
 
 
-def _prompt_of(ask: PlaceAsk) -> Prompt | None:
-    if ask.own_tokens == NOT_KNOWN:
+def _prompt_of(request: PlaceAsk) -> Prompt | None:
+    if request.own_tokens == NO_VALUE:
         return None
     shared = tuple(
         PromptPart(str(part), tokens)
-        for part, tokens in zip(ask.parts, ask.part_tokens, strict=True)
+        for part, tokens in zip(request.parts, request.part_tokens, strict=True)
     )
-    hint = ask.expected_output
+    hint = request.expected_output
     return Prompt(
-        (*shared, PromptPart(ask.call, ask.own_tokens)),
-        sum(ask.part_tokens) + ask.own_tokens,
-        ask.max_output,
-        None if hint == NOT_KNOWN else hint,
+        (*shared, PromptPart(request.call, request.own_tokens)),
+        sum(request.part_tokens) + request.own_tokens,
+        request.max_output,
+        None if hint == NO_VALUE else hint,
     )
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -675,9 +675,9 @@
         "test_following.FollowerTest.test_doubt_ends_a_long_pause",
     ),
     Safeguard(
-        "owners are told again that nothing is left",
+        "updates without requests are repeated to owners",
         "asking",
-        "repeats = REPEATS if held else before.repeats - 1",
+        "repeats = EMPTY_UPDATE_REPEATS if held else previous.repeats - 1",
         "repeats = 0 if held else -1",
         "test_ownersmodel.OwnersModelTest.test_seeds",
     ),
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells of servers, their owners among the instances, and who asks them."""
+"""Cells of servers, their owners, and the instances that send to them."""
 
 import contextlib
 import dataclasses
@@ -12,9 +12,9 @@
 
 from jasminerelay import asking, cells, peerwords
 from jasminerelay.asking import (
-    ANSWER_S,
-    GATHER_S,
-    TICK_S,
+    ANSWER_TIMEOUT_S,
+    BATCH_S,
+    CHECK_INTERVAL_S,
     AskingRoom,
 )
 from jasminerelay.catalog import Call, Prompt, PromptPart
@@ -25,8 +25,8 @@
 from jasminerelay.membership import ALIVE
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
-from jasminerelay.owning import ASKER_LIFE_S
-from jasminerelay.placewords import FOREIGN, ask_word
+from jasminerelay.owning import SENDER_TIMEOUT_S
+from jasminerelay.placewords import FOREIGN, placement_request
 from jasminerelay.placing import KNOWN_UNREAD_S
 from jasminerelay.platform import documents
 from jasminerelay.registry import Registry
@@ -62,7 +62,7 @@
 
 
 def registry(servers: int) -> Registry:
-    """Returns what an instance knows of a service with idle engines."""
+    """Returns a registry of idle engines of one service."""
     found = Registry(documents.catalog, documents.server)
     configuration = {
         "version": 1,
@@ -99,31 +99,31 @@
 
 
 class Site:
-    """Instances that hear each other at once, but for what a test cuts."""
+    """Instances whose messages arrive at once unless a test drops them."""
 
     def __init__(self, instances: int, servers: int):
         self.names = [f"n{number:02}" for number in range(instances)]
-        self.dead: set[str] = set()
-        self.deaf: set[str] = set()
+        self.crashed: set[str] = set()
+        self.answers_lost: set[str] = set()
         self.lose: Callable[[], bool] = lambda: False
         self.nodes = {name: Node(self, name, servers) for name in self.names}
-        self.see()
+        self.publish_membership()
 
     def live(self) -> list[Member]:
-        """Returns the instances that live."""
+        """Returns the live instances."""
         return [
             node.member for node in self.nodes.values() if node.counted_live
         ]
 
-    def see(self) -> None:
-        """Lets all instances see who lives."""
+    def publish_membership(self) -> None:
+        """Gives all instances the current list of live ones."""
         live = self.live()
         for node in self.nodes.values():
             node.asking.saw_instances(100, live)
             node.followers.saw_instances(live, shared=True)
 
-    async def tell_queues(self) -> None:
-        """Lets owners tell each other of their queues until cancelled."""
+    async def publish_queues(self) -> None:
+        """Exchanges the owners' queue estimates until cancelled."""
         while True:
             now = time.monotonic()
             for node in self.nodes.values():
@@ -133,14 +133,14 @@
             await anyio.sleep(0.02)
 
     def running(self, server: str) -> int:
-        """Returns what truly runs at a server."""
+        """Returns the true number of in-flight requests at a server."""
         return sum(
             node.dispatcher.workload.own_running(server)
             for node in self.nodes.values()
         )
 
     def unread(self, server: str) -> int:
-        """Returns what is truly unread at a server."""
+        """Returns the true number of tokens pending prefill at a server."""
         return sum(
             item.unread
             for node in self.nodes.values()
@@ -149,7 +149,7 @@
         )
 
     def owner_of(self, cell: int) -> "Node":
-        """Returns the instance that decides for a cell."""
+        """Returns the instance that owns a cell."""
         live = [node.name for node in self.nodes.values() if node.counted_live]
         return self.nodes[cells.owner(SERVICE, cell, live)]
 
@@ -197,23 +197,25 @@
             model.stepped(tokens // 1_000, TOKEN_S, 0.0)
 
     def _ask(self, owner: Member, word) -> None:
-        cut = {self.name, owner.instance} & self.site.dead
-        if cut or self.site.lose():
+        dropped = {self.name, owner.instance} & self.site.crashed
+        if dropped or self.site.lose():
             return
         data = peerwords.encode(word)
         self.site.nodes[owner.instance].owned.hear(peerwords.decode(data))
 
     def _answer(self, address: str, word) -> None:
         to = address.removesuffix(":1")
-        cut = to in self.site.deaf or {self.name, to} & self.site.dead
-        if cut or self.site.lose():
+        dropped = (
+            to in self.site.answers_lost or {self.name, to} & self.site.crashed
+        )
+        if dropped or self.site.lose():
             return
         data = peerwords.encode(word)
         self.site.nodes[to].asking.hear(peerwords.decode(data))
 
 
 def prompts(count: int, starts: int = 1000) -> Iterator[Call]:
-    """Returns long prompts that have just come, some with the same start."""
+    """Yields new requests with long prompts and `starts` shared prefixes."""
     now = time.monotonic()
     for number in range(count):
         parts = (
@@ -229,11 +231,11 @@
 
 
 class PlainServiceTest(unittest.IsolatedAsyncioTestCase):
-    """Lookups among many instances, at three servers."""
+    """A plain service with three servers and many instances."""
 
-    async def test_nobody_is_asked(self) -> None:
-        # Guards against one instance that is asked for every lookup of the
-        # deployment, and is too busy to answer or to be taken for alive.
+    async def test_no_owner_gets_messages(self) -> None:
+        # Guards against a single owner that gets all lookups of the deployment
+        # and is too busy to answer, or even to be considered alive.
         site = Site(30, 3)
         asked = []
         used = set()
@@ -255,25 +257,25 @@
 
 
 class CellsTest(unittest.TestCase):
-    """Which servers form a cell, and who decides for it."""
+    """How servers are grouped into cells, and who owns a cell."""
 
     def test_even_and_small(self) -> None:
         for count in (1, 6, 8, 9, 30, 39, 300):
             split = cells.cells_of(f"s{number}" for number in range(count))
             sizes = [len(cell) for cell in split]
             self.assertEqual(sum(sizes), count)
-            self.assertLessEqual(max(sizes), cells.CELL_SERVERS)
+            self.assertLessEqual(max(sizes), cells.MAX_SERVERS_PER_CELL)
             self.assertGreaterEqual(min(sizes) * 2, max(sizes) - 2)
 
-    def test_few_change_when_one_goes(self) -> None:
+    def test_few_servers_move_when_one_is_removed(self) -> None:
         names = [f"s{number}" for number in range(300)]
         before = _by_server(names)
         after = _by_server(names[1:])
         moved = [name for name in after if after[name] != before[name]]
         self.assertLess(len(moved), 30)
 
-    def test_one_owner_goes(self) -> None:
-        # Only the cells of the instance that went get another owner.
+    def test_one_owner_removed(self) -> None:
+        # Only the cells of the removed instance get another owner.
         names = [f"n{number}" for number in range(60)]
         for cell in range(40):
             before = cells.owner(SERVICE, cell, names)
@@ -282,17 +284,20 @@
                 self.assertEqual(before, after)
 
 
-class ForeignWordsTest(unittest.TestCase):
+class InvalidMessagesTest(unittest.TestCase):
     """Datagrams that no instance of this version sends."""
 
-    def test_cells_that_there_are_not(self) -> None:
-        # An instance whose list of servers is another one asks of a cell that
-        # is not known here. It is told so at once, and decides by itself.
+    def test_unknown_cells(self) -> None:
+        # An instance with another list of servers requests a placement at a
+        # cell that doesn't exist here. It gets an answer that says so at once,
+        # and places the request itself.
         node = Site(2, servers=4).nodes["n00"]
         answers = []
         node.owned.answer = lambda address, word: answers.append(word)
         for service, cell in ((SERVICE, 7), (SERVICE, -1), ("other", 0)):
-            ask = ask_word(1, next(prompts(1)), frozenset(), False, 0.0)
+            ask = placement_request(
+                1, next(prompts(1)), frozenset(), False, 0.0
+            )
             word = PlaceWord(
                 "n01", "n01:1", service, cell, 1, [ask], [], [], []
             )
@@ -301,8 +306,8 @@
         self.assertEqual(len(node.owned), 0)
 
     def test_unreadable(self) -> None:
-        # Bytes of a fault, or of another version, name nothing to act on.
-        ask = ask_word(1, next(prompts(1)), frozenset(), False, 0.0)
+        # Corrupt datagrams and those of other versions are rejected.
+        ask = placement_request(1, next(prompts(1)), frozenset(), False, 0.0)
         uneven = dataclasses.replace(ask, part_tokens=[1, 2, 3])
         word = PlaceWord("a", "a:1", SERVICE, 0, 1, [uneven], [], [], [])
         for data in (
@@ -316,7 +321,7 @@
 
 
 class FollowersTest(unittest.TestCase):
-    """Who follows the store for others, and who tells whom."""
+    """Which instances follow the store on behalf of others."""
 
     def setUp(self) -> None:
         self.site = Site(30, servers=4)
@@ -324,7 +329,7 @@
             node for node in self.site.nodes.values() if node.followers.led()
         ]
 
-    def test_everyone_is_led_by_one(self) -> None:
+    def test_each_has_one_leader(self) -> None:
         led = [
             member.instance
             for node in self.leaders
@@ -334,9 +339,9 @@
         self.assertEqual(len(self.leaders), FOLLOWERS)
         self.assertEqual(sorted(led), sorted(set(self.site.names) - names))
 
-    def test_silence_of_leaders(self) -> None:
-        # A led instance leaves the store alone while its leaders speak, and
-        # follows it itself once they have been silent.
+    def test_silent_leaders(self) -> None:
+        # An instance doesn't poll the store while its leaders send messages,
+        # and does so itself once they have been silent.
         led = self.leaders[0].followers.led()[0].instance
         followers = self.site.nodes[led].followers
         self.assertTrue(followers.closely())
@@ -353,32 +358,32 @@
         self.assertEqual(node.followers.led(), [])
 
 
-class HerdTest(unittest.IsolatedAsyncioTestCase):
-    """Many instances that place at the same servers in one moment."""
+class ConcurrentPlacementTest(unittest.IsolatedAsyncioTestCase):
+    """Many instances that place requests at the same servers at once."""
 
     def setUp(self) -> None:
-        _answer_late(self)
+        _disable_answer_timeout(self)
 
-    async def test_placings_of_one_moment(self) -> None:
+    async def test_simultaneous_placements(self) -> None:
         # Sixty instances get a long prompt each within a millisecond, before
-        # any of them could tell another of its own. By its own view each
-        # finds all servers idle; by the owners' no server is given more
-        # reading than may lie ahead, and one prompt.
+        # any load report arrives, so each considers all servers idle.
+        # Owners give no server more pending prefill than the limit and one
+        # prompt.
         site = Site(60, servers=8)
         async with anyio.create_task_group() as group:
             calls = zip(site.nodes.values(), prompts(120, 3), strict=False)
             for node, item in calls:
                 group.start_soon(_enter, node, item)
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             most = max(site.unread(f"i-{number:03}") for number in range(8))
             group.cancel_scope.cancel()
         self.assertLessEqual(
             most * READ_TOKEN_S, KNOWN_UNREAD_S + 6_000 * READ_TOKEN_S
         )
 
-    async def test_room_that_comes_free_goes_to_one(self) -> None:
-        # All slots are taken and twenty instances wait. One run ends at one
-        # instance; exactly one of those who wait gets the place.
+    async def test_freed_slot_goes_to_one(self) -> None:
+        # All slots are taken and twenty instances wait. One request ends at
+        # one instance; exactly one waiting request gets the free slot.
         site = Site(30, servers=1)
         seats: list[Seat] = []
         waiting: list[Seat] = []
@@ -393,30 +398,30 @@
                     seat.run.read(0.1)
                     nodes[0].asking.freed(SERVICE)
                     seats.append(seat)
-                await anyio.sleep(GATHER_S * 2)
+                await anyio.sleep(BATCH_S * 2)
             for node, item in zip(nodes[1:21], prompts(20, 1), strict=True):
                 group.start_soon(_enter, node, item, waiting)
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             before = len(waiting)
             seats[0].run.end()
             nodes[0].asking.freed(SERVICE)
             await _until(lambda: len(waiting) > before)
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             after = len(waiting)
             group.cancel_scope.cancel()
         self.assertEqual(after - before, 1)
 
 
-class PassingOnTest(unittest.IsolatedAsyncioTestCase):
-    """A cell with a queue beside others without one."""
+class RedirectTest(unittest.IsolatedAsyncioTestCase):
+    """A cell with a queue, and others without one."""
 
     def setUp(self) -> None:
-        _answer_late(self)
+        _disable_answer_timeout(self)
 
-    async def test_hot_start(self) -> None:
-        # One start of prompts gets most of the traffic for a second, so its
-        # cell has a queue while the next cell stands idle. What would wait
-        # for longer than reading the start anew takes goes to the other cell.
+    async def test_hot_prefix(self) -> None:
+        # One shared prefix gets most of the traffic for a second, so its cell
+        # has a queue while the other cell is idle. Requests that would wait
+        # longer than the repeated prefill takes go to the other cell.
         site = Site(40, servers=16)
         nodes = list(site.nodes.values())
         seats: list[Seat] = []
@@ -424,7 +429,7 @@
             for node in nodes:
                 group.start_soon(node.asking.run)
                 group.start_soon(node.owned.run)
-            group.start_soon(site.tell_queues)
+            group.start_soon(site.publish_queues)
             for node, item in zip(nodes, prompts(8), strict=False):
                 group.start_soon(_enter_if_room, node, item, [])
             await anyio.sleep(0.05)
@@ -440,49 +445,53 @@
                 )
             )
             group.cancel_scope.cancel()
-        self.assertGreater(_passed(nodes), 0)
+        self.assertGreater(_redirects(nodes), 0)
 
-    async def test_even_cells_keep_their_own(self) -> None:
-        # Both cells are as long; passing on would read starts anew for
-        # nothing.
+    async def test_no_redirects_between_equal_queues(self) -> None:
+        # Both queues have the same length; redirects would only repeat the
+        # prefill of shared prefixes.
         site = Site(40, servers=16)
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
             for node in nodes:
                 group.start_soon(node.asking.run)
                 group.start_soon(node.owned.run)
-            group.start_soon(site.tell_queues)
+            group.start_soon(site.publish_queues)
             for number, item in enumerate(prompts(60, 60)):
                 group.start_soon(_enter_if_room, nodes[number % 40], item, [])
             await anyio.sleep(0.4)
             group.cancel_scope.cancel()
-        self.assertEqual(_passed(nodes), 0)
+        self.assertEqual(_redirects(nodes), 0)
 
 
 class LossTest(unittest.IsolatedAsyncioTestCase):
-    """Owners and askers that die, stand still or lose datagrams."""
+    """Instances that crash, hang or lose datagrams."""
 
-    async def test_dead_owner_costs_one_silence(self) -> None:
-        # The owner of the cell has died and nobody knows it yet. The first
-        # request of an instance goes by the instance's own view after a short
-        # silence, and the next ones at once.
+    async def test_crashed_owner_costs_one_timeout(self) -> None:
+        # The owner of the cell has crashed, which has not been detected yet.
+        # An instance places its first request itself after a short timeout,
+        # and the next ones at once.
         site = Site(30, servers=6)
-        site.dead.add(site.owner_of(0).name)
-        node = next(x for x in site.nodes.values() if x.name not in site.dead)
+        site.crashed.add(site.owner_of(0).name)
+        node = next(
+            x for x in site.nodes.values() if x.name not in site.crashed
+        )
         items = list(prompts(3))
-        took = []
-        self.enterContext(unittest.mock.patch.object(asking, "SPARE_S", 60.0))
+        elapsed_s = []
+        self.enterContext(
+            unittest.mock.patch.object(asking, "OWNER_BACKOFF_S", 60.0)
+        )
         for item in items:
             since = time.monotonic()
             await node.asking.enter(item, frozenset())
-            took.append(time.monotonic() - since)
-        self.assertGreaterEqual(took[0], ANSWER_S)
+            elapsed_s.append(time.monotonic() - since)
+        self.assertGreaterEqual(elapsed_s[0], ANSWER_TIMEOUT_S)
         self.assertEqual(node.counters.snapshot()["place.owner_silent"], 1)
         self.assertEqual(node.counters.snapshot()["place.owner_spared"], 2)
 
-    async def test_new_owner_knows_what_runs(self) -> None:
-        # The owner dies, and the others learn of it. Its successor hears of
-        # all that runs from those who have it, before it has placed much.
+    async def test_new_owner_learns_in_flight_requests(self) -> None:
+        # The owner crashes and is detected as failed. Its successor learns of
+        # all in-flight requests from the instances that have them.
         site = Site(30, servers=4)
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
@@ -492,9 +501,9 @@
             for node, item in zip(nodes, prompts(4), strict=False):
                 await node.asking.enter(item, frozenset())
             owner = site.owner_of(0)
-            site.dead.add(owner.name)
+            site.crashed.add(owner.name)
             owner.counted_live = False
-            site.see()
+            site.publish_membership()
             own = len(owner.dispatcher.workload.runs)
             names = [item.id for item in owner.registry.servers()]
             truth = sum(site.running(name) for name in names) - own
@@ -502,12 +511,12 @@
             group.cancel_scope.cancel()
 
     async def test_two_owners_at_once(self) -> None:
-        # Half of the instances take the owner for dead, so the cell has two
-        # owners, each of which knows only what its own askers have. Each
-        # fills a server to its usual bound and no further, so a server is
-        # overfilled by a factor of two at the most while the views differ,
-        # and no request gets two places.
-        _answer_late(self)
+        # Half of the instances consider the owner failed, so the cell has two
+        # owners, and each knows only the requests of the instances that send
+        # to it. Each fills a server to its usual limit at most, so a server
+        # gets at most twice that while the views differ, and no request gets
+        # two placements.
+        _disable_answer_timeout(self)
         site = Site(40, servers=2)
         nodes = list(site.nodes.values())
         live = [node.member for node in nodes if node is not site.owner_of(0)]
@@ -522,10 +531,10 @@
                 group.start_soon(
                     _enter_if_room, nodes[number % 40], item, seats
                 )
-            await anyio.sleep(3 * TICK_S)
+            await anyio.sleep(3 * CHECK_INTERVAL_S)
             for seat in seats:
                 seat.run.read(0.1)
-            await anyio.sleep(3 * TICK_S)
+            await anyio.sleep(3 * CHECK_INTERVAL_S)
             most = max(site.running(f"i-{number:03}") for number in range(2))
             group.cancel_scope.cancel()
         self.assertEqual(
@@ -535,37 +544,37 @@
         runs = [seat.run for seat in seats]
         self.assertEqual(len({id(run) for run in runs}), len(runs))
 
-    async def test_lost_answer_is_given_again(self) -> None:
-        # The datagram with a place is lost. The caller waits for one silence,
-        # then goes by the instance's own view; what the owner had reserved
-        # is free again with the next datagram, and nothing is placed twice.
+    async def test_lost_answer_frees_reservation(self) -> None:
+        # The datagram with the placement is lost. After one timeout the
+        # instance places the request itself; the next datagram frees what the
+        # owner had reserved, and the request is counted only once.
         site = Site(30, servers=4)
         node = site.nodes["n00"]
-        site.deaf.add("n00")
+        site.answers_lost.add("n00")
         async with anyio.create_task_group() as group:
             group.start_soon(node.asking.run)
             await node.asking.enter(next(prompts(1)), frozenset())
             owned = site.owner_of(0).owned
             await _until(lambda: _running(owned) == 1)
-            await anyio.sleep(2 * TICK_S)
+            await anyio.sleep(2 * CHECK_INTERVAL_S)
             self.assertEqual(_running(owned), 1)
             group.cancel_scope.cancel()
 
-    async def test_asker_that_dies(self) -> None:
-        # An instance dies with runs under way; its connections close. The
-        # owner gives their room to others after the time that this takes.
+    async def test_sender_crashes(self) -> None:
+        # An instance crashes with requests in flight, and its connections
+        # close. The owner drops these requests after the time that this takes.
         site = Site(30, servers=4)
         node = site.nodes["n01"]
         await node.asking.enter(next(prompts(1)), frozenset())
         owned = site.owner_of(0).owned
         owned.tick(time.monotonic())
         self.assertEqual(_running(owned), 1)
-        owned.tick(time.monotonic() + ASKER_LIFE_S + 0.1)
+        owned.tick(time.monotonic() + SENDER_TIMEOUT_S + 0.1)
         self.assertEqual(len(owned), 0)
 
-    async def test_caller_that_leaves(self) -> None:
-        # A caller leaves while its request waits at the owner. The place that
-        # comes free goes to another.
+    async def test_caller_disconnects(self) -> None:
+        # A caller disconnects while its request waits at the owner. The owner
+        # removes the request from its queue.
         site = Site(30, servers=1)
         node = site.nodes["n02"]
         async with anyio.create_task_group() as group:
@@ -577,27 +586,29 @@
             await _until(lambda: site.owner_of(0).owned.waiting == 0)
             group.cancel_scope.cancel()
 
-    async def test_refusal_comes_at_once(self) -> None:
-        # The owner sees that a request cannot end in time. Its caller hears
-        # so at once and when to come back, since the request has not run.
+    async def test_refusal_without_delay(self) -> None:
+        # The owner finds that a request can't end in time. The caller gets a
+        # refusal at once, with the time of a retry, as nothing has run.
         site = Site(30, servers=1)
         node = site.nodes["n03"]
         await node.asking.enter(next(prompts(1)), frozenset())
         now = time.monotonic()
-        hasty = next(prompts(1))
-        hasty = call("h", arrived=now, ends=now + 0.1, prompt=hasty.prompt)
+        urgent = next(prompts(1))
+        urgent = call("h", arrived=now, ends=now + 0.1, prompt=urgent.prompt)
         with self.assertRaises(NoRoomError) as caught:
-            await node.asking.enter(hasty, frozenset())
+            await node.asking.enter(urgent, frozenset())
         self.assertIsNotNone(caught.exception.retry_s)
 
 
-def _answer_late(case: unittest.TestCase) -> None:
-    """Lets owners answer when they come to it.
+def _disable_answer_timeout(case: unittest.TestCase) -> None:
+    """Disables the timeout for owners' answers.
 
-    Instances that go by their own views, as they would while a busy machine
-    holds the test up for 30 ms, are not what these tests are about.
+    Otherwise a busy machine that delays the test by 30 ms would make instances
+    place requests themselves, which these tests are not about.
     """
-    case.enterContext(unittest.mock.patch.object(asking, "ANSWER_S", 30.0))
+    case.enterContext(
+        unittest.mock.patch.object(asking, "ANSWER_TIMEOUT_S", 30.0)
+    )
 
 
 async def _until(condition: Callable[[], bool]) -> None:
@@ -606,7 +617,7 @@
             await anyio.sleep(0.01)
 
 
-def _passed(nodes: list[Node]) -> int:
+def _redirects(nodes: list[Node]) -> int:
     counts = (node.counters.snapshot() for node in nodes)
     return sum(item.get("place.passed", 0) for item in counts)
 
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -1,4 +1,4 @@
-"""One request gets one place, whatever becomes of owners' datagrams."""
+"""A request gets one placement, whatever happens to the owners' datagrams."""
 
 import unittest
 import unittest.mock
@@ -14,115 +14,121 @@
 
 
 class PlacedOnceTest(unittest.IsolatedAsyncioTestCase):
-    """Answers that come late, again, or from two owners.
+    """Answers that are late, repeated, or sent by two owners.
 
-    Callers would see a request that may run once run at two servers. Each
-    place that an instance takes is one run, which it notes before it sends
-    the request; so runs are what is counted.
+    Otherwise a request that may run only once could run at two servers. An
+    instance records one run for each placement that it accepts, before it sends
+    the request, so the tests count runs.
     """
 
     def setUp(self) -> None:
         self.site = Site(30, servers=16)
         self.node = self.site.nodes["n00"]
-        self.words: list[tuple[Node, OwnerWord]] = []
+        self.answers_sent: list[tuple[Node, OwnerWord]] = []
         for node in self.site.nodes.values():
-            node.owned.answer = lambda _, word, node=node: self.words.append(
-                (node, word)
+            node.owned.answer = lambda _, message, node=node: (
+                self.answers_sent.append((node, message))
             )
         self.seats: list[Seat] = []
 
     async def enter(self) -> None:
-        """Asks for a place for one request."""
+        """Requests a placement for one request."""
         seat = await self.node.asking.enter(next(prompts(1)), frozenset())
         self.seats.append(seat)
 
-    async def deliver(self, words, times: int = 1) -> None:
-        """Gives owners' words to the instance, each some times."""
+    async def deliver(self, answers_sent, times: int = 1) -> None:
+        """Delivers owners' answers to the instance, `times` times each."""
         for _ in range(times):
-            for _, word in list(words):
-                data = peerwords.encode(word)
+            for _, message in list(answers_sent):
+                data = peerwords.encode(message)
                 self.node.asking.hear(peerwords.decode(data))
                 await anyio.sleep(0)
 
     def assert_one_run(self) -> None:
-        """Asserts that the request has one place and no more."""
+        """Asserts that the request has exactly one placement."""
         self.assertEqual(len(self.seats), 1)
         self.assertEqual(
             list(self.node.dispatcher.workload.runs.values()),
             [self.seats[0].run],
         )
 
-    async def test_answer_after_the_own_view(self) -> None:
-        # The owner's answer comes once the instance has decided by its own
-        # view, in favour of another server. It is passed over.
+    async def test_answer_after_local_placement(self) -> None:
+        # The owner's answer arrives after the instance has placed the request
+        # itself. It is ignored.
         await self.enter()
         self.assertEqual(self.seats[0].owner, "")
-        self.assertTrue(self.words)
-        await self.deliver(self.words, times=3)
+        self.assertTrue(self.answers_sent)
+        await self.deliver(self.answers_sent, times=3)
         await anyio.sleep(SOON_S)
         self.assert_one_run()
 
-    async def test_placing_told_three_times(self) -> None:
-        # The datagram with the place comes three times, as after it was told
-        # again, before the request goes on and after.
+    async def test_repeated_answer(self) -> None:
+        # The datagram with the placement arrives three times, both before the
+        # request proceeds and after.
         self.hold_answers()
         async with anyio.create_task_group() as group:
             group.start_soon(self.enter)
             await anyio.sleep(SOON_S)
-            await self.deliver(self.words, times=3)
+            await self.deliver(self.answers_sent, times=3)
             await anyio.sleep(SOON_S)
-            await self.deliver(self.words, times=3)
+            await self.deliver(self.answers_sent, times=3)
         self.assert_one_run()
 
-    async def test_ask_in_two_datagrams(self) -> None:
-        # An ask is told again while its answer is on the way. The owner
-        # places it once and says the same place again.
+    async def test_repeated_update(self) -> None:
+        # The update with the request is repeated while the answer is in
+        # transit. The owner places it once and repeats its answer.
         self.hold_answers()
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.asking.run)
             group.start_soon(self.enter)
-            await anyio.sleep(3 * asking.ASK_AGAIN_S)
-            await self.deliver(self.words)
+            await anyio.sleep(3 * asking.WAITING_UPDATE_INTERVAL_S)
+            await self.deliver(self.answers_sent)
             await anyio.sleep(SOON_S)
             group.cancel_scope.cancel()
-        answers = [item for _, word in self.words for item in word.answers]
+        answers = [
+            item for _, message in self.answers_sent for item in message.answers
+        ]
         self.assertGreater(len(answers), 1)
         self.assertEqual(len({item.server for item in answers}), 1)
         self.assert_one_run()
 
     async def test_two_owners_answer(self) -> None:
-        # The cell's owner changes while the ask is under way. The former one
-        # and the new one place it, at two servers; the instance takes the
-        # word of the one that it asks now, once.
+        # The cell's owner changes while the request waits. The former and the
+        # new owner place it at different servers; the instance accepts one
+        # answer, that of the current owner.
         self.hold_answers()
-        former = self.site.owner_of(self.home())
+        former = self.site.owner_of(self.cell())
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.asking.run)
             group.start_soon(self.enter)
             await anyio.sleep(SOON_S)
             former.counted_live = False
-            self.site.see()
-            await anyio.sleep(3 * asking.ASK_AGAIN_S)
-            await self.deliver(self.words, times=2)
+            self.site.publish_membership()
+            await anyio.sleep(3 * asking.WAITING_UPDATE_INTERVAL_S)
+            await self.deliver(self.answers_sent, times=2)
             await anyio.sleep(SOON_S)
-            await self.deliver(reversed(self.words))
+            await self.deliver(reversed(self.answers_sent))
             group.cancel_scope.cancel()
-        owners = {node.name for node, word in self.words if word.answers}
+        owners = {
+            node.name for node, message in self.answers_sent if message.answers
+        }
         self.assertEqual(len(owners), 2)
         self.assertNotEqual(self.seats[0].owner, former.name)
         self.assert_one_run()
 
     def hold_answers(self) -> None:
-        """Lets the instance wait for as long as answers are held back."""
-        self.enterContext(unittest.mock.patch.object(asking, "ANSWER_S", 30.0))
+        """Disables the timeout for answers, which are held back."""
+        self.enterContext(
+            unittest.mock.patch.object(asking, "ANSWER_TIMEOUT_S", 30.0)
+        )
 
-    def home(self) -> int:
-        """Returns the cell of the request's start."""
+    def cell(self) -> int:
+        """Returns the cell of the request's shared prefix."""
         item = next(prompts(1))
         names = [server.id for server in self.node.registry.servers()]
         count = len(cells.cells_of(names))
         self.assertEqual(item.service, SERVICE)
-        return cells.home(item.prompt.shared[-1].id, count)
+        return cells.cell_of_key(item.prompt.shared[-1].id, count)
 
 
 if __name__ == "__main__":
