--- a/src/jasminerelay/evacuation.py
+++ b/src/jasminerelay/evacuation.py
@@ -1,9 +1,10 @@
-"""Moves streams away from servers that leave.
+"""Moves streams away from servers that shut down.
 
-A server that leaves serves for a few seconds and then ends, whatever still
-runs. An answer that takes longer is cut there; one that may run once is lost
-with all its tokens. So the memory of such a run is copied to another server,
-where it goes on behind the last event: the caller sees a short pause.
+A server that shuts down continues serving for a few seconds and then ends, so
+longer answers are cut off there, and the answer to a request that may run only
+once is lost with all its tokens. Its KV cache is therefore copied to another
+server, where the stream continues after the last event; the caller sees a short
+pause.
 """
 
 import dataclasses
@@ -22,22 +23,23 @@
 )
 from jasminerelay.metrics import Counters
 
-STAY_S = 1.0
-"""Time in which a run that is about to end may end where it is. Servers serve
-for two seconds after the word of their leaving, which is a little old."""
+MIN_REMAINING_S = 1.0
+"""Minimum estimated remaining time of a stream that is moved; shorter ones end
+in place. Servers serve for two seconds after they announce the shutdown, and
+the notice arrives slightly late."""
 
 MOVE_TIMEOUT_S = 1.0
-"""Longest time that a move may take. The run stands still meanwhile, and its
-caller waits no longer for the next event than it allows between two."""
+"""Timeout of a move. The stream is paused meanwhile, and its caller leaves when
+the next event takes longer than its limit between two."""
 
-AT_ONCE = 2
-"""Moves that one instance has under way from one server. Copies queue on the
-server's link; a run that waits there stands still."""
+MAX_CONCURRENT_MOVES = 2
+"""Maximum concurrent moves of one instance from one server. Copies queue on the
+server's link, and a stream that waits there is paused."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Copy:
-    """A run's memory, ready to go on from.
+    """A copy of a run's KV cache from which the run can continue.
 
     Attributes:
         source: Address of the server that made it.
@@ -51,21 +53,21 @@
 
 
 class MoveDialect(Protocol):
-    """Puts orders to move in an interface's words."""
+    """Translates move orders to and from a server interface."""
 
     def move(
         self, call: Call, source: BackendServer, target: BackendServer
     ) -> Exchange:
-        """Returns the order to stop a run and to copy its memory."""
+        """Returns the order to stop a run and copy its KV cache."""
 
     def moved(
         self, reply: Reply, source: BackendServer, target: BackendServer
     ) -> Copy | None:
-        """Reads the answer; None if the run goes on where it is."""
+        """Reads the reply; None if the run continues on its server."""
 
 
 class Evacuator:
-    """Streams under way by server, and the orders to move them."""
+    """Tracks streams by server and orders their moves."""
 
     def __init__(
         self,
@@ -79,35 +81,37 @@
         self._counters = counters
         self._log = log
         self._streams: dict[str, set[anyio.Event]] = {}
-        self._gates: dict[str, anyio.CapacityLimiter] = {}
+        self._limiters: dict[str, anyio.CapacityLimiter] = {}
 
     def attach(self, server: str) -> anyio.Event:
-        """Notes a stream at a server; returns what is set when it leaves."""
-        told = anyio.Event()
-        self._streams.setdefault(server, set()).add(told)
-        return told
+        """Adds a stream; returns an event set when its server shuts down."""
+        leaving_event = anyio.Event()
+        self._streams.setdefault(server, set()).add(leaving_event)
+        return leaving_event
 
-    def detach(self, server: str, told: anyio.Event) -> None:
-        """Notes that a stream has ended."""
+    def detach(self, server: str, leaving_event: anyio.Event) -> None:
+        """Removes a stream that has ended."""
         streams = self._streams.get(server)
         if streams is None:
             return
-        streams.discard(told)
+        streams.discard(leaving_event)
         if not streams:
             del self._streams[server]
-            self._gates.pop(server, None)
+            self._limiters.pop(server, None)
 
     def leaving(self, server: str) -> None:
-        """Tells the streams at a server that it leaves."""
-        for told in self._streams.get(server, ()):
-            told.set()
+        """Notifies the streams at a server that it shuts down."""
+        for leaving_event in self._streams.get(server, ()):
+            leaving_event.set()
 
     async def move(
         self, call: Call, source: BackendServer, target: BackendServer
     ) -> Copy | None:
-        """Stops a run and copies its memory; None if it goes on."""
-        gate = self._gates.setdefault(source.id, anyio.CapacityLimiter(AT_ONCE))
-        async with gate:
+        """Stops a run and copies its KV cache; None if the run continues."""
+        limiter = self._limiters.setdefault(
+            source.id, anyio.CapacityLimiter(MAX_CONCURRENT_MOVES)
+        )
+        async with limiter:
             try:
                 reply = await self._client.call(
                     self._dialect.move(call, source, target)
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -1,4 +1,4 @@
-"""Carries a request to backend servers until its caller has a final answer."""
+"""Forwards a request to backend servers until its caller has a final answer."""
 
 import functools
 import time
@@ -22,17 +22,18 @@
 from jasminerelay.waitingroom import Seat
 from jasminerelay.workload import Verdict
 
-MAX_NOT_SENT = 3
-MAX_NOT_RUN = 2
-"""Further servers that are tried after one could not be reached, or said that
-it did not run the request. Neither is a run, but each takes time."""
+MAX_UNSENT_RETRIES = 3
+MAX_NOT_RUN_RETRIES = 2
+"""Maximum further servers tried after one was unreachable, or reported that it
+did not run the request. Such attempts don't count as runs, but each takes time.
+"""
 
-RETRY_SOON_S = 0.3
-"""When to come back after a refusal that has nothing to do with load."""
+RETRY_AFTER_S = 0.3
+"""Retry-After of refusals that are unrelated to load."""
 
 
 class Delivery:
-    """One request on its way to its final answer."""
+    """Forwards one request until it has its final answer."""
 
     def __init__(self, kit: Kit, call: Call, sink: Sink):
         self._kit = kit
@@ -40,16 +41,16 @@
         self._sink = sink
         self._progress = Progress(call.last_event)
         self._attempt = Attempt(kit, call, sink, self._progress)
-        self._not_sent = 0
-        self._not_run = 0
-        self._kept: Failed | None = None
+        self._unsent_attempts = 0
+        self._not_run_attempts = 0
+        self._failure: Failed | None = None
         self._placed_at = 0.0
-        self._why = ""
-        self._whole = False
-        self._lost_run = False
+        self._reason = ""
+        self._answer_complete = False
+        self._log_fingerprint = False
 
     async def run(self) -> None:
-        """Serves the request; its caller's leaving cancels this."""
+        """Serves the request; cancelled when the caller disconnects."""
         call = self._call
         self._kit.dispatcher.arrived(call)
         self._kit.budget.requested(call.service, call.arrived)
@@ -58,7 +59,7 @@
             with anyio.move_on_after(call.ends - time.monotonic()) as scope:
                 await self._serve()
             if scope.cancelled_caught:
-                await self._time_out()
+                await self._handle_timeout()
             ended = "done"
         finally:
             self._log(ended)
@@ -70,27 +71,27 @@
             try:
                 if not crashes.blocks(self._call):
                     with crashes.unless_blocked(self._call):
-                        seat = await self._seat()
+                        seat = await self._reserve()
             except NoRoomError as exc:
-                await self._no_room(exc)
+                await self._reject_unplaced(exc)
                 return
             if seat is None:
-                await self._blocked()
+                await self._reject_blocked()
                 return
-            outcome = await self._try(seat)
-            self._note_health(seat.placed.server, outcome)
-            await self._note_crash(seat.placed.server, outcome)
+            outcome = await self._attempt_at(seat)
+            self._record_health(seat.placed.server, outcome)
+            await self._record_crash(seat.placed.server, outcome)
             if not await next_step(outcome, self):
                 return
 
-    async def _seat(self) -> Seat:
+    async def _reserve(self) -> Seat:
         copy = self._progress.copy
         if copy is not None:
             return self._kit.dispatcher.seat_at(self._call, copy.at)
         avoid = frozenset(self._progress.tried)
         return await self._kit.room.enter(self._call, avoid)
 
-    async def _try(self, seat: Seat) -> Outcome:
+    async def _attempt_at(self, seat: Seat) -> Outcome:
         self._placed_at = self._placed_at or time.monotonic()
         self._progress.tried.append(seat.placed.server.id)
         self._progress.owners.append(seat.owner)
@@ -98,7 +99,7 @@
         try:
             outcome = await self._attempt.run(seat)
             verdict = self._verdict(outcome)
-            self._lost_run |= isinstance(outcome, Unknown | Interrupted)
+            self._log_fingerprint |= isinstance(outcome, Unknown | Interrupted)
             return outcome
         finally:
             seat.run.end(verdict, self._progress.output)
@@ -112,13 +113,13 @@
         if isinstance(outcome, NotSent | Unknown | Interrupted):
             return Verdict.BAD
         if isinstance(outcome, NotRun) and outcome.misdirected:
-            # The server has started again as another one, and its old row is
-            # still there. It answers at once and looks idle, so it drew most
-            # of what came until the row was gone: 250 requests in two seconds.
+            # The server has restarted under another id, while its old row still
+            # exists. It answers at once and appears idle, so it attracted most
+            # requests until the row was deleted: 250 within two seconds.
             return Verdict.BAD
         return None
 
-    def _note_health(self, server: BackendServer, outcome: Outcome) -> None:
+    def _record_health(self, server: BackendServer, outcome: Outcome) -> None:
         health = self._kit.dispatcher.health(self._call.service)
         verdict = self._verdict(outcome)
         if verdict is Verdict.GOOD:
@@ -126,7 +127,7 @@
         elif verdict is Verdict.BAD:
             health.failed(server.id, time.monotonic())
 
-    async def _note_crash(
+    async def _record_crash(
         self, server: BackendServer, outcome: Outcome
     ) -> None:
         if isinstance(outcome, Delivered | Failed):
@@ -136,120 +137,136 @@
 
     @property
     def moved(self) -> bool:
-        """Whether the run was stopped on purpose and goes on elsewhere."""
+        """Whether the run was stopped to continue on another server."""
         return self._progress.copy is not None
 
-    def go_on(self) -> None:
-        """Notes that a run was moved: it counts as one, wherever it ends."""
+    def record_move(self) -> None:
+        """Counts a moved run, which is one run wherever it ends."""
         self._progress.ran = max(self._progress.ran, 1)
 
-    def again(self) -> bool:
-        """Returns whether one more server may run the request."""
+    def retry_after_run(self) -> bool:
+        """Counts a run; returns whether another server may run the request."""
         allowed = self._progress.may_repeat(self._call.route)
         self._progress.ran += 1
         if allowed and not self._kit.crashes.repeats(self._call):
             self._kit.counters.incr("crash.not_repeated")
             return False
-        return allowed and self._repeat_allowed()
+        return allowed and self._spend_retry()
 
-    def again_unsent(self, why: str) -> bool:
-        """Returns whether one more may be tried after one not reached."""
-        self._why = why
-        self._not_sent += 1
+    def retry_unsent(self, why: str) -> bool:
+        """Returns whether to try another server after an unreachable one."""
+        self._reason = why
+        self._unsent_attempts += 1
         self._progress.maybe_ran = self._progress.ran > 0
-        return self._not_sent <= MAX_NOT_SENT and not self._ran_its_once
+        return (
+            self._unsent_attempts <= MAX_UNSENT_RETRIES
+            and not self._single_run_used
+        )
 
-    def again_not_run(self, why: str) -> bool:
-        """Returns whether one more may be tried after one that did not run."""
-        self._why = why
-        self._not_run += 1
+    def retry_not_run(self, why: str) -> bool:
+        """Returns whether to try another server after one did not run it."""
+        self._reason = why
+        self._not_run_attempts += 1
         self._progress.maybe_ran = self._progress.ran > 0
-        if self._ran_its_once:
+        if self._single_run_used:
             return False
-        return self._not_run <= MAX_NOT_RUN and self._repeat_allowed()
+        return (
+            self._not_run_attempts <= MAX_NOT_RUN_RETRIES
+            and self._spend_retry()
+        )
 
     @property
-    def _ran_its_once(self) -> bool:
-        """Whether it may run once and has.
+    def _single_run_used(self) -> bool:
+        """Whether the request may run only once and has run.
 
-        So it is with a run that was moved: without its memory no server may
-        begin it anew, even if the one that it was moved to has rejected it.
+        This includes a moved run: without its KV cache no server may restart
+        it, even if the server that it was moved to has rejected it.
         """
         return self._progress.ran > 0 and self._call.route.repeat is Repeat.ONCE
 
-    def keep(self, failed: Failed) -> None:
-        """Keeps a server's failure, to pass on if nothing better comes."""
-        self._kept = failed
+    def keep_answer(self, failed: Failed) -> None:
+        """Keeps a server's error, to send if no later attempt succeeds."""
+        self._failure = failed
 
-    def finished(self, delivered: Delivered) -> None:
-        """Notes that its caller has the whole answer of a server."""
-        self._whole = delivered.status == OK
+    def record_delivered(self, delivered: Delivered) -> None:
+        """Records that the caller has a server's complete answer."""
+        self._answer_complete = delivered.status == OK
 
     def note(self, why: str) -> None:
-        """Notes why the last server did not do."""
-        self._why = why
+        """Records why the latest attempt failed."""
+        self._reason = why
 
     async def give_up(self) -> None:
-        """Sends the final answer after the last server has failed."""
+        """Sends the final answer after the last attempt has failed."""
         if self._sink.started:
             await self._sink.abort()
-        elif self._kept is not None:
-            await self._attempt.pass_on(self._kept.head, self._kept.body)
+        elif self._failure is not None:
+            await self._attempt.send_answer(
+                self._failure.head, self._failure.body
+            )
         elif self._progress.maybe_ran:
-            await self._refuse(502, f"the server failed: {self._why}", None)
+            await self._refuse(
+                502, f"the backend server failed: {self._reason}", None
+            )
         else:
             await self._refuse(
-                503, f"no server took it: {self._why}", RETRY_SOON_S
+                503,
+                f"no server accepted the request: {self._reason}",
+                RETRY_AFTER_S,
             )
 
-    def _repeat_allowed(self) -> bool:
+    def _spend_retry(self) -> bool:
         if self._kit.budget.spend(self._call.service, time.monotonic()):
             return True
         self._kit.counters.incr("retry.no_budget")
         return False
 
-    async def _no_room(self, exc: NoRoomError) -> None:
-        self._why = exc.message
-        if self._sink.started or self._progress.maybe_ran or self._kept:
+    async def _reject_unplaced(self, exc: NoRoomError) -> None:
+        self._reason = exc.message
+        if self._sink.started or self._progress.maybe_ran or self._failure:
             await self.give_up()
         else:
             await self._refuse(503, exc.message, exc.retry_s)
 
-    async def _blocked(self) -> None:
+    async def _reject_blocked(self) -> None:
         self._kit.counters.incr("crash.refused")
-        self._lost_run = True
+        self._log_fingerprint = True
         exc = CrashingRequestError(
-            "servers end while they run this request; it was not run"
+            "backend servers crash while running this request; it was not run"
         )
         if self._progress.maybe_ran or self._sink.started:
-            self._why = exc.message
+            self._reason = exc.message
             await self.give_up()
         else:
             await self._refuse(exc.status, exc.message, None)
 
-    async def _time_out(self) -> None:
-        self._why = "its time was over"
+    async def _handle_timeout(self) -> None:
+        self._reason = "the request's time was over"
         if self._sink.started:
             await self._sink.abort()
-        elif self._kept is not None:
-            await self._attempt.pass_on(self._kept.head, self._kept.body)
+        elif self._failure is not None:
+            await self._attempt.send_answer(
+                self._failure.head, self._failure.body
+            )
         elif self._progress.maybe_ran:
-            await self._refuse(504, "its time was over", None)
+            await self._refuse(504, "the request's time was over", None)
         else:
-            await self._refuse(503, "its time was over", RETRY_SOON_S)
+            await self._refuse(
+                503, "the request's time was over", RETRY_AFTER_S
+            )
 
     async def _refuse(
         self, status: int, why: str, retry_s: float | None
     ) -> None:
         self._progress.status = status
-        self._why = why
+        self._reason = why
         await self._sink.refuse(status, why, retry_s)
 
     def _log(self, ended: str) -> None:
         now = time.monotonic()
         call = self._call
         progress = self._progress
-        good = self._whole and not self._why
+        good = self._answer_complete and not self._reason
         write = self._kit.log.info if good else self._kit.log.trouble
         first_s = None
         if progress.first_at:
@@ -265,8 +282,8 @@
             service=call.service,
             ended=ended,
             status=progress.status,
-            whole=self._whole,
-            why=self._why,
+            whole=self._answer_complete,
+            why=self._reason,
             servers=progress.tried,
             owners=progress.owners,
             events=progress.events,
@@ -275,13 +292,13 @@
             pause_s=round(progress.pause_s, 3),
             total_s=total_s,
             limit_s=round(call.ends - call.arrived, 3),
-            tokens=_tokens_of(call),
-            fingerprint=fingerprint.of(call) if self._lost_run else "",
+            tokens=_token_counts(call),
+            fingerprint=fingerprint.of(call) if self._log_fingerprint else "",
             **self._kit.versions(),
         )
 
 
-def _tokens_of(call: Call) -> list[int | None]:
+def _token_counts(call: Call) -> list[int | None]:
     if call.prompt is None:
         return []
     prompt = call.prompt
@@ -295,19 +312,19 @@
 
 @functools.singledispatch
 async def next_step(outcome: object, delivery: Delivery) -> bool:
-    """Returns whether another server is to be tried after an outcome."""
+    """Returns whether to try another server after an outcome."""
     raise NotImplementedError(type(outcome))
 
 
 @next_step.register
 async def _(outcome: Delivered, delivery: Delivery) -> bool:
-    delivery.finished(outcome)
+    delivery.record_delivered(outcome)
     return False
 
 
 @next_step.register
 async def _(outcome: NotSent, delivery: Delivery) -> bool:
-    if delivery.again_unsent(outcome.why):
+    if delivery.retry_unsent(outcome.why):
         return True
     await delivery.give_up()
     return False
@@ -315,7 +332,7 @@
 
 @next_step.register
 async def _(outcome: NotRun, delivery: Delivery) -> bool:
-    if delivery.again_not_run(outcome.why):
+    if delivery.retry_not_run(outcome.why):
         return True
     await delivery.give_up()
     return False
@@ -324,8 +341,8 @@
 @next_step.register
 async def _(outcome: Failed, delivery: Delivery) -> bool:
     delivery.note(f"status {outcome.head.status}")
-    delivery.keep(outcome)
-    if delivery.again():
+    delivery.keep_answer(outcome)
+    if delivery.retry_after_run():
         return True
     await delivery.give_up()
     return False
@@ -334,7 +351,7 @@
 @next_step.register
 async def _(outcome: Unknown, delivery: Delivery) -> bool:
     delivery.note(outcome.why)
-    if delivery.again():
+    if delivery.retry_after_run():
         return True
     await delivery.give_up()
     return False
@@ -343,10 +360,10 @@
 @next_step.register
 async def _(outcome: Interrupted, delivery: Delivery) -> bool:
     if delivery.moved:
-        delivery.go_on()
+        delivery.record_move()
         return True
     delivery.note(outcome.why)
-    if delivery.again():
+    if delivery.retry_after_run():
         return True
     await delivery.give_up()
     return False
--- a/src/jasminerelay/outcome.py
+++ b/src/jasminerelay/outcome.py
@@ -1,4 +1,4 @@
-"""The life of one accepted request, every step of it asserted."""
+"""State machine of an accepted request; each transition is asserted."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class State(enum.Enum):
-    """Where a request stands."""
+    """State of a request."""
 
     ACCEPTED = "accepted"
     WAITING = "waiting"
@@ -18,9 +18,9 @@
     UNKNOWN = "unknown"
 
 
-_FINAL = {State.COMPLETED, State.NOT_RUN, State.FAILED, State.UNKNOWN}
+_FINAL_STATES = {State.COMPLETED, State.NOT_RUN, State.FAILED, State.UNKNOWN}
 
-_ALLOWED = {
+_TRANSITIONS = {
     State.ACCEPTED: {State.WAITING, State.NOT_RUN},
     # Failed or unknown if an earlier attempt may have run.
     State.WAITING: {
@@ -29,10 +29,10 @@
         State.FAILED,
         State.UNKNOWN,
     },
-    # Back to waiting only on proof that the attempt did not run, or if the
-    # request may run twice.
-    State.DISPATCHED: {State.WAITING, State.STREAMING, *_FINAL},
-    # Once it has run in part, "not run" would be false.
+    # Waits again only if the attempt provably did not run, or if the request
+    # may be repeated.
+    State.DISPATCHED: {State.WAITING, State.STREAMING, *_FINAL_STATES},
+    # A stream has run at least partly, so it can't end as not run.
     State.STREAMING: {
         State.WAITING,
         State.COMPLETED,
@@ -53,9 +53,9 @@
     """State machine of one request.
 
     Attributes:
-        request_id: Identity of the request.
-        state: Where it stands.
-        attempts: Times that it was dispatched.
+        request_id: Id of the request.
+        state: Current state.
+        attempts: Number of dispatches.
     """
 
     def __init__(self, request_id: str, *, repeatable: bool = True):
@@ -63,80 +63,80 @@
         self.state = State.ACCEPTED
         self.attempts = 0
         self._repeatable = repeatable
-        self._unproven = 0
+        self._possible_runs = 0
 
     @property
     def final(self) -> bool:
         """Whether the request has its final answer."""
-        return self.state in _FINAL
+        return self.state in _FINAL_STATES
 
     @property
     def ran(self) -> str:
-        """What a caller is told: "no", "yes" or "unknown"."""
+        """Whether the request ran: "no", "yes" or "unknown"."""
         return _RAN.get(self.state, RAN_UNKNOWN)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt reached a backend server without a refusal."""
-        return self._unproven > 0
+        """Whether any attempt reached a backend server and was not refused."""
+        return self._possible_runs > 0
 
     def waiting(self) -> None:
-        """The request waits for a permit, first or again.
+        """The request waits for a permit, for the first or a further attempt.
 
         Raises:
-            InvariantError: if it may not repeat and may have run.
+            InvariantError: if it may not be repeated and may have run.
         """
         if self.may_have_run and not self._repeatable:
             raise InvariantError(
-                f"request {self.request_id} may not repeat and may have run"
+                f"request {self.request_id} may run only once but may have run"
             )
-        self._move(State.WAITING)
+        self._change_state(State.WAITING)
 
     def dispatched(self) -> None:
-        """Its first byte is about to go to a backend server."""
-        self._move(State.DISPATCHED)
+        """The first byte is about to be sent to a backend server."""
+        self._change_state(State.DISPATCHED)
         self.attempts += 1
-        self._unproven += 1
+        self._possible_runs += 1
 
     def refused(self) -> None:
-        """The last attempt provably did not run."""
+        """The latest attempt provably did not run."""
         if self.state is not State.DISPATCHED:
             raise InvariantError(
                 f"request {self.request_id} refused while {self.state.value}"
             )
-        self._unproven -= 1
+        self._possible_runs -= 1
 
     def streaming(self) -> None:
-        """The first token arrived."""
+        """The first token has arrived."""
         if self.state is not State.STREAMING:
-            self._move(State.STREAMING)
+            self._change_state(State.STREAMING)
 
     def completed(self) -> None:
-        """The whole answer went to the caller."""
-        self._move(State.COMPLETED)
+        """The complete answer was sent to the caller."""
+        self._change_state(State.COMPLETED)
 
     def not_run(self) -> None:
         """No attempt ran.
 
         Raises:
-            InvariantError: if one may have run; the caller would be misled.
+            InvariantError: if one may have run, as the caller would be misled.
         """
         if self.may_have_run:
             raise InvariantError(
-                f"request {self.request_id} called not run but may have run"
+                f"request {self.request_id} reported not run but may have run"
             )
-        self._move(State.NOT_RUN)
+        self._change_state(State.NOT_RUN)
 
     def failed(self) -> None:
-        """It ran, and ended without a whole answer."""
-        self._move(State.FAILED)
+        """The request ran and ended without a complete answer."""
+        self._change_state(State.FAILED)
 
     def unknown(self) -> None:
-        """Whether it ran cannot be told."""
-        self._move(State.UNKNOWN)
+        """It can't be determined whether the request ran."""
+        self._change_state(State.UNKNOWN)
 
-    def _move(self, state: State) -> None:
-        if state not in _ALLOWED.get(self.state, set()):
+    def _change_state(self, state: State) -> None:
+        if state not in _TRANSITIONS.get(self.state, set()):
             raise InvariantError(
                 f"request {self.request_id}: {self.state.value} cannot"
                 f" become {state.value}"
--- a/src/jasminerelay/resume.py
+++ b/src/jasminerelay/resume.py
@@ -1,7 +1,7 @@
 """Signed resume points and return tickets.
 
-A resume point lets a caller whose instance died get the rest of its stream
-from any other instance. A return ticket lets a refused request keep its age.
+With a resume point, a caller whose instance crashed gets the rest of its stream
+from any other instance. With a return ticket, a refused request keeps its age.
 """
 
 import dataclasses
@@ -12,20 +12,20 @@
 
 RESUME_SALT = "resume-point"
 TICKET_SALT = "return-ticket"
-MAX_TEXT = 2048
+MAX_TEXT_LENGTH = 2048
 MAX_TICKET_AGE_S = 86400.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ResumePoint:
-    """Where a stream stands.
+    """Position in a stream from which it can be resumed.
 
     Attributes:
-        organisation: Who may resume it.
+        organisation: Organisation that may resume it.
         request_digest: Digest of the request's body.
         server: Backend server that runs the attempt.
-        attempt: Identity of the attempt on that server.
-        request_id: Identity that the caller sees in every chunk.
+        attempt: Id of the attempt on that server.
+        request_id: Request id in every chunk sent to the caller.
         base: Tokens that the caller had before this attempt.
         offset: Tokens that the caller has.
     """
@@ -40,7 +40,7 @@
 
 
 class Signer:
-    """Makes and reads signed words."""
+    """Creates and verifies signed resume points and tickets."""
 
     def __init__(self, secret: str):
         self._points = itsdangerous.URLSafeSerializer(
@@ -55,10 +55,10 @@
         )
 
     def stream_word(self, point: ResumePoint) -> str:
-        """Returns the signed word that all resume points of an attempt share.
+        """Returns the signed prefix that all resume points of an attempt share.
 
-        The offset follows it unsigned: signing each token would cost more
-        than sending it, and a caller can only pick tokens of its own stream.
+        The offset is appended unsigned: signing for each token would cost more
+        than sending it, and callers can only select tokens of their own stream.
         """
         return self._points.dumps(
             [
@@ -72,37 +72,39 @@
         )
 
     def read_point(self, text: str) -> Result[ResumePoint, str]:
-        """Reads "WORD:OFFSET" as a caller sent it back."""
-        word, separator, offset = text.rpartition(":")
-        if not separator or len(text) > MAX_TEXT:
+        """Parses and verifies "PREFIX:OFFSET", as sent back by a caller."""
+        signed, separator, offset = text.rpartition(":")
+        if not separator or len(text) > MAX_TEXT_LENGTH:
             return Err("not a resume point")
         if not (offset.isascii() and offset.isdigit()) or len(offset) > 9:
             return Err("its offset is not a number")
         try:
-            fields = self._points.loads(word)
+            fields = self._points.loads(signed)
         except (itsdangerous.BadData, RecursionError):
-            return Err("its signature is wrong")
+            return Err("its signature is invalid")
         point = ResumePoint(*fields, int(offset))
-        # The codec skips foreign characters, so altered words could still
-        # read as signed; only the word as it was made is taken.
-        if self.stream_word(point) != word:
+        # The decoder ignores invalid characters, so an altered prefix could
+        # pass verification; only the exact encoding is accepted.
+        if self.stream_word(point) != signed:
             return Err("it was altered")
         return Ok(point)
 
     def ticket(self, organisation: str, kind: str, arrived: float) -> str:
-        """Returns a ticket that keeps an arrival (Unix time in seconds)."""
+        """Returns a ticket with an arrival time (Unix time in seconds)."""
         return self._tickets.dumps([organisation, kind, round(arrived, 3)])
 
     def read_ticket(
         self, text: str, organisation: str, kind: str, now: float
     ) -> float:
-        """Returns the seconds since the first try; 0 for a bad ticket."""
-        if not text or len(text) > MAX_TEXT:
+        """Returns the seconds since the arrival; 0 for an invalid ticket."""
+        if not text or len(text) > MAX_TEXT_LENGTH:
             return 0.0
         try:
-            owner, owned_kind, arrived = self._tickets.loads(text)
+            ticket_organisation, ticket_kind, arrived = self._tickets.loads(
+                text
+            )
         except (itsdangerous.BadData, RecursionError):
             return 0.0
-        if (owner, owned_kind) != (organisation, kind):
+        if (ticket_organisation, ticket_kind) != (organisation, kind):
             return 0.0
         return min(MAX_TICKET_AGE_S, max(0.0, now - arrived))
--- a/src/jasminerelay/retry.py
+++ b/src/jasminerelay/retry.py
@@ -1,40 +1,40 @@
-"""One budget for all retries of an instance.
+"""Retry budget of one instance.
 
-Without it, retries multiply the load just when backend servers fail, and a
-short fault becomes a long overload.
+Without a budget, retries would multiply the load just when backend servers
+fail, and turn a short fault into a long overload.
 """
 
-RATIO = 0.1
-RESERVE = 10.0
-MAX_TOKENS = 100.0
+RETRIES_PER_SUCCESS = 0.1
+INITIAL_RETRIES = 10.0
+MAX_SAVED_RETRIES = 100.0
 
 
 class RetryBudget:
-    """Allows retries as a share of recent successes."""
+    """Allows retries as a share of recent successful requests."""
 
     def __init__(
         self,
-        ratio: float = RATIO,
-        reserve: float = RESERVE,
-        ceiling: float = MAX_TOKENS,
+        ratio: float = RETRIES_PER_SUCCESS,
+        reserve: float = INITIAL_RETRIES,
+        ceiling: float = MAX_SAVED_RETRIES,
     ):
-        """Makes a budget.
+        """Creates a budget.
 
         Args:
             ratio: Retries earned by each success.
-            reserve: Retries allowed at the start.
-            ceiling: Most retries saved up.
+            reserve: Retries available at the start.
+            ceiling: Maximum retries that can be saved up.
         """
         self._ratio = ratio
         self._tokens = reserve
         self._ceiling = ceiling
 
     def succeeded(self) -> None:
-        """Notes a request that ended well."""
+        """Records a successful request."""
         self._tokens = min(self._ceiling, self._tokens + self._ratio)
 
     def spend(self) -> bool:
-        """Takes one retry; returns False if there is none left."""
+        """Takes one retry; returns False if none is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/src/jasminerelay/stopping.py
+++ b/src/jasminerelay/stopping.py
@@ -1,34 +1,34 @@
-"""A planned stop: from the signal to the end of the process.
+"""Planned shutdown: from the signal to the end of the process.
 
-Pure. The instance leaves the entry lists at once, but callers keep their old
-answer for a while and go on sending; they are served as long as what they
-send can end before the platform kills the process. What cannot is refused as
-not run. The process ends when nothing is under way and no caller can hold an
-old answer any more, or just before it would be killed.
+Does no I/O. The instance leaves the entry lists at once. Callers with cached
+lists still send requests for a while, and the instance serves those that can
+end before the platform kills the process; it refuses others as not run. The
+process exits when nothing is in flight and no caller can have a cached list any
+more, or just before it would be killed.
 """
 
 import dataclasses
 
-END_EARLY_S = 0.6
-"""How long before the kill the process ends itself, so that its connections
-are closed in order."""
+EXIT_MARGIN_S = 0.6
+"""Time before the kill at which the process exits, so that its connections are
+closed properly."""
 
-LINGER_SHARE = 0.75
-"""Part of the grace time after which an idle instance ends. Callers keep an
-answer for some seconds; an address that refuses connections costs those who
-still hold it a try."""
+MIN_STAY_SHARE = 0.75
+"""Share of the grace period after which an idle instance exits. Callers cache
+entry lists for some seconds; with a cached list, an address that refuses
+connections costs them an attempt."""
 
-TAKE_ALL_S = 2.8
-"""How long after the signal every request is taken. Whoever sends then has
-an old entry list, and the grace time is meant for it."""
+ACCEPT_ALL_S = 2.8
+"""How long after the signal every request is accepted. Callers that send then
+have a cached entry list, and the grace period is meant for them."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Stop:
-    """A planned stop under way.
+    """A planned shutdown in progress.
 
     Attributes:
-        began: Steady time of the signal.
+        began: Monotonic time of the signal.
         grace_s: Time until the process is killed.
     """
 
@@ -37,19 +37,19 @@
 
     @property
     def ends(self) -> float:
-        """Steady time by which the process must have ended."""
-        return self.began + self.grace_s - END_EARLY_S
+        """Monotonic time by which the process must have exited."""
+        return self.began + self.grace_s - EXIT_MARGIN_S
 
     def takes(self, limit_s: float, now: float) -> bool:
-        """Returns whether a request with this time limit is still taken."""
-        take_all = min(TAKE_ALL_S, self.grace_s / 3)
-        if now - self.began < take_all:
+        """Returns whether a request with this time limit is still accepted."""
+        accept_all_s = min(ACCEPT_ALL_S, self.grace_s / 3)
+        if now - self.began < accept_all_s:
             return True
         return now + limit_s < self.ends
 
     def over(self, under_way: int, now: float) -> bool:
-        """Returns whether the process should end now."""
+        """Returns whether the process should exit now."""
         if now >= self.ends:
             return True
-        linger = self.grace_s * LINGER_SHARE
-        return under_way == 0 and now - self.began >= linger
+        min_stay_s = self.grace_s * MIN_STAY_SHARE
+        return under_way == 0 and now - self.began >= min_stay_s
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -174,14 +174,14 @@
         "daemon",
         "            self._note_server(server, leaving=True)\n",
         "            pass\n",
-        "test_stopping.LeavingServerTest.test_its_refusal_is_enough",
+        "test_stopping.LeavingServerTest.test_refusal_excludes_server",
     ),
     Safeguard(
         "a planned stop waits for requests in progress",
         "daemon",
         "return self.progress.count == 0 and self._claims.unrecorded == 0",
         "return True",
-        "test_stopping.PlannedStopTest.test_cuts_nothing",
+        "test_stopping.PlannedStopTest.test_streams_finish",
     ),
     Safeguard(
         "a second SIGTERM does not cut",
@@ -190,7 +190,7 @@
         "                    if self._draining:\n"
         "                        raise SystemExit(1)\n"
         "                    self.drain()\n        finally:\n",
-        "test_stopping.PlannedStopTest.test_cuts_nothing",
+        "test_stopping.PlannedStopTest.test_streams_finish",
     ),
     Safeguard(
         "the death of one instance does not end the others",
@@ -341,28 +341,28 @@
     Safeguard(
         "an answer to another request is dropped",
         "attempt",
-        "if named != self._call.id:",
+        "if answered_id != self._call.id:",
         "if False:",
         "test_platform.FailuresTest.test_crossed_answer_is_dropped",
     ),
     Safeguard(
         "an answer without an id is dropped on a used connection",
         "attempt",
-        'named = head.request or ("" if kept else self._call.id)',
-        "named = head.request or self._call.id",
+        'answered_id = head.request or ("" if reused else self._call.id)',
+        "answered_id = head.request or self._call.id",
         "test_platform.FailuresTest.test_stale_answer_without_id",
     ),
     Safeguard(
-        "what may run once is not repeated",
+        "requests that may run once are not repeated",
         "attempt",
         "if route.repeat is Repeat.ONCE:",
         "if False:",
         "test_platform.FailuresTest.test_once_is_not_repeated",
     ),
     Safeguard(
-        "a torn event is no end",
+        "a stream that ends within an event is incomplete",
         "attempt",
-        "        if cutter.torn:\n",
+        "        if splitter.torn:\n",
         "        if False:\n",
         "test_platform.FailuresTest.test_torn_event_is_no_end",
     ),
@@ -374,9 +374,9 @@
         "test_platform.FailuresTest.test_stream_is_moved_from_leaving_server",
     ),
     Safeguard(
-        "a moved run is never begun anew",
+        "a moved run is never restarted",
         "forwarding",
-        "        if self._ran_its_once:\n            return False\n",
+        "        if self._single_run_used:\n            return False\n",
         "",
         "test_platform.FailuresTest.test_refused_move_is_no_second_run",
     ),
@@ -409,17 +409,17 @@
         "test_workload.SilencesTest.test_dark_server",
     ),
     Safeguard(
-        "a stopping instance refuses what cannot end",
+        "a stopping instance refuses requests that cannot end in time",
         "stopping",
         "return now + limit_s < self.ends",
         "return True",
         "test_workload.StopTest.test_takes_what_can_end",
     ),
     Safeguard(
-        "the allowance is dealt by the most instances of late",
+        "the allowance is divided by the highest recent instance count",
         "sharedbudget",
-        "most = max((size for _, size in self._sizes), default=1)",
-        "most = self._sizes[-1][1]",
+        "most = max((size for _, size in self._instance_counts), default=1)",
+        "most = self._instance_counts[-1][1]",
         "test_workload.SharedBudgetTest.test_partition_does_not_double_it",
     ),
     Safeguard(
@@ -602,7 +602,7 @@
         "test_waitingroom.WaitingRoomTest.test_caller_that_will_have_left",
     ),
     Safeguard(
-        "a run that cannot end moves on",
+        "a run that cannot end in time is moved",
         "attempt",
         "group.start_soon(self._move_when_slow, server)",
         "pass",
@@ -689,7 +689,7 @@
         "test_placing.KnownCachesTest.test_cold_start_is_read",
     ),
     Safeguard(
-        "requests under which servers end are sent no more",
+        "requests that crash servers are blocked",
         "forwarding",
         "if not crashes.blocks(self._call):",
         "if True:",
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that are kept."""
+"""The pool of connections to backend servers."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class FakeChannel:
-    """A connection whose close gives way to other tasks."""
+    """A connection whose close yields to other tasks."""
 
     def __init__(self, reusable: bool = True):
         self.server = SERVER
@@ -26,57 +26,57 @@
         await anyio.sleep(0)
 
 
-class KeptTest(unittest.IsolatedAsyncioTestCase):
-    """What happens to kept connections."""
+class PoolTest(unittest.IsolatedAsyncioTestCase):
+    """Which connections are pooled, and when they are closed."""
 
     def setUp(self) -> None:
-        self.kept = Channels(Watchdog())
-
-    async def give(self, count: int, idle_s: float) -> list[FakeChannel]:
-        given = [FakeChannel() for _ in range(count)]
-        for channel in given:
-            await self.kept.give_back(channel, idle_s, False)
-        return given
-
-    async def test_taken_while_stale_ones_are_closed(self) -> None:
-        # Stale connections are closed one after another; each close gives way
-        # to requests, which take from the same list. An instance ended on
-        # that (day "clocks", seed 32, on Moreton Bay).
-        given = await self.give(6, 0.0)
-        await anyio.sleep(2 * channels.SETTLE_S)
-        taken = []
-
-        async def take() -> None:
+        self.pool = Channels(Watchdog())
+
+    async def fill(self, count: int, idle_s: float) -> list[FakeChannel]:
+        pooled = [FakeChannel() for _ in range(count)]
+        for channel in pooled:
+            await self.pool.put_back(channel, idle_s, False)
+        return pooled
+
+    async def test_acquire_while_stale_ones_are_closed(self) -> None:
+        # Each close of a stale connection yields to requests, which acquire
+        # connections from the same pool. An instance crashed because of this
+        # (day "clocks", seed 32, on Moreton Bay).
+        pooled = await self.fill(6, 0.0)
+        await anyio.sleep(2 * channels.MIN_IDLE_S)
+        acquired = []
+
+        async def acquire() -> None:
             for _ in range(3):
                 try:
-                    taken.append(await self.kept.take(SERVER))
+                    acquired.append(await self.pool.acquire(SERVER))
                 except channels.NotSentError:
-                    taken.append(None)
+                    acquired.append(None)
 
         async with anyio.create_task_group() as group:
-            group.start_soon(self.kept.tidy)
-            group.start_soon(take)
-        self.assertEqual([channel.closed for channel in given], [1] * 6)
+            group.start_soon(self.pool.tidy)
+            group.start_soon(acquire)
+        self.assertEqual([channel.closed for channel in pooled], [1] * 6)
 
-    async def test_rests_before_it_is_used_again(self) -> None:
-        # A second answer to the last request shows in that time.
-        await self.give(1, 60.0)
+    async def test_minimum_idle_time_before_reuse(self) -> None:
+        # A second answer to the last request is detected in that time.
+        await self.fill(1, 60.0)
         with self.assertRaises(channels.NotSentError):
-            await self.kept.take(SERVER)
-        await anyio.sleep(2 * channels.SETTLE_S)
-        self.assertIsInstance(await self.kept.take(SERVER), FakeChannel)
+            await self.pool.acquire(SERVER)
+        await anyio.sleep(2 * channels.MIN_IDLE_S)
+        self.assertIsInstance(await self.pool.acquire(SERVER), FakeChannel)
 
-    async def test_distrusted_server_keeps_none(self) -> None:
-        self.kept.distrust(SERVER)
-        (channel,) = await self.give(1, 60.0)
+    async def test_distrusted_server_has_no_pool(self) -> None:
+        self.pool.distrust(SERVER)
+        (channel,) = await self.fill(1, 60.0)
         self.assertEqual(channel.closed, 1)
 
-    async def test_closing_or_unfinished_is_not_kept(self) -> None:
+    async def test_closing_or_unfinished_is_not_pooled(self) -> None:
         channel = FakeChannel()
-        await self.kept.give_back(channel, 60.0, True)
+        await self.pool.put_back(channel, 60.0, True)
         self.assertEqual(channel.closed, 1)
         broken = FakeChannel(reusable=False)
-        await self.kept.give_back(broken, 60.0, False)
+        await self.pool.put_back(broken, 60.0, False)
         self.assertEqual(broken.closed, 1)
 
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Leaving backend servers get no work; a planned stop cuts nothing."""
+"""Backend servers and instances that shut down."""
 
 import time
 import unittest
@@ -17,7 +17,7 @@
 
 
 class LeavingServerTest(SystemCase):
-    """A backend server says that it is leaving."""
+    """A backend server announces that it shuts down."""
 
     options = Options(
         daemons=3,
@@ -26,14 +26,14 @@
         settings={"timing": {"leaving_hold_s": 6.0}},
     )
 
-    def test_its_refusal_is_enough(self) -> None:
-        # Its load reports do not say that it is leaving. It refuses one
-        # request, which goes elsewhere; the word goes round, and from then
-        # on no instance sends it anything. Each try would be refused, and
-        # its journal of refusals stays at what it was.
+    def test_refusal_excludes_server(self) -> None:
+        # Its load reports don't say that it shuts down. It refuses one
+        # request, which goes to another server. The instances notify each
+        # other, and from then on none sends it a request: each would be
+        # refused, and its count of refusals stays the same.
         self.system.fault("model-2", leaving=True, hide_leaving=True)
 
-        def all_know() -> bool:
+        def all_exclude_server() -> bool:
             calls = [
                 Background(chat, daemon, f"ask {number}")
                 for number, daemon in enumerate(self.system.daemons * 4)
@@ -45,7 +45,7 @@
                 for daemon in self.system.daemons
             )
 
-        wait_for(all_know)
+        wait_for(all_exclude_server)
         before = self.refusals()
         calls = [
             Background(chat, daemon, f"after {number} {daemon.name}")
@@ -69,10 +69,11 @@
         url = self.system.processes["model-2"].url + "/v1/state"
         return call("GET", url)[1]["refused"]
 
-    def test_no_new_work(self) -> None:
-        # The server refuses one request, or says so in its load report. From
-        # then on no instance sends it work, also those that never asked it,
-        # since the word goes round. Callers notice nothing.
+    def test_no_new_requests(self) -> None:
+        # The server refuses one request or announces the shutdown in its load
+        # report. From then on no instance sends it a request, not even those
+        # that never did, as the instances notify each other. All callers get
+        # their answers.
         self.system.fault("model-1", leaving=True)
         until = time.monotonic() + LEAVING_S
         number = 0
@@ -92,7 +93,7 @@
         self.assertEqual(before, after)
         self.system.fault("model-1", leaving=False)
 
-        def works_again() -> bool:
+        def serves_again() -> bool:
             calls = [
                 Background(chat, self.system.daemons[0], f"back {number}")
                 for number in range(12)
@@ -101,11 +102,11 @@
                 self.assertEqual(item.result()[0], 200)
             return len(self.system.journal("model-1", "attempts")) > after
 
-        wait_for(works_again)
+        wait_for(serves_again)
 
 
 class PlannedStopTest(SystemCase):
-    """An instance is asked to stop in the middle of its work."""
+    """An instance gets SIGTERM while it serves requests."""
 
     options = Options(
         daemons=3,
@@ -115,11 +116,11 @@
         settings={"timing": {"entry_ttl_s": 1.5}},
     )
 
-    def test_cuts_nothing(self) -> None:
-        # Each instance in turn gets SIGTERM, then a second one, while it
-        # streams long answers. It leaves the entry list, still serves callers
-        # that hold an old answer, finishes the streams and exits with 0.
-        # Whatever it brokered is handed on, so no request fails anywhere.
+    def test_streams_finish(self) -> None:
+        # Two instances in turn get SIGTERM, then a second one, while they
+        # stream long answers. Each leaves the entry list, still serves callers
+        # with a cached entry list, finishes its streams and exits with 0. Its
+        # broker duties are handed over, so no request fails.
         daemons = self.system.daemons
         for number, leaving in enumerate(daemons[:2]):
             others = daemons[number + 1 :]
