--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -66,7 +66,7 @@
 
     Attributes:
         dispatcher: Chooses servers.
-        room: Queue in which requests wait for a placement.
+        queue: Queue in which requests wait for a placement.
         channels: Connections to servers.
         dialect: Translates to and from the servers' HTTP interface.
         evacuator: Moves streams from servers that shut down.
@@ -77,14 +77,14 @@
         telemetry: Records latencies.
         log: Event log.
         rng: Source of random choices.
-        began: Called when a server has begun a request, with the request's
+        on_started: Called when a server has begun a request, with the request's
             organisation and the seconds since then.
         versions: Returns the versions of the data behind decisions, for the
             log.
     """
 
     dispatcher: Dispatcher
-    room: Room
+    queue: Room
     channels: Channels
     dialect: Dialect
     evacuator: Evacuator
@@ -95,7 +95,7 @@
     telemetry: Telemetry
     log: EventLog
     rng: random.Random
-    began: Callable[[str, float], None]
+    on_started: Callable[[str, float], None]
     versions: Callable[[], dict[str, float]]
 
 
@@ -223,7 +223,7 @@
     def _report_started(self, ago_s: float) -> None:
         # A moved run was reported when it started.
         if not self._continues_run:
-            self._kit.began(self._call.organisation, ago_s)
+            self._kit.on_started(self._call.organisation, ago_s)
 
     def _report_lost(self) -> None:
         # A request whose answer is lost has most likely run. A stream starts
@@ -433,7 +433,7 @@
             self.first_at = now
             self._record_prefill(now)
             self._seat.run.read(now - self._sent_at)
-            self._kit.room.freed(self._call.service)
+            self._kit.queue.freed(self._call.service)
         else:
             self._kit.dispatcher.paces.observe(
                 self._seat.placed.server.id,
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -89,7 +89,7 @@
         if copy is not None:
             return self._kit.dispatcher.seat_at(self._call, copy.at)
         avoid = frozenset(self._progress.tried)
-        return await self._kit.room.enter(self._call, avoid)
+        return await self._kit.queue.enter(self._call, avoid)
 
     async def _attempt_at(self, seat: Seat) -> Outcome:
         self._placed_at = self._placed_at or time.monotonic()
@@ -103,7 +103,7 @@
             return outcome
         finally:
             seat.run.end(verdict, self._progress.output)
-            self._kit.room.freed(self._call.service)
+            self._kit.queue.freed(self._call.service)
 
     def _verdict(self, outcome: Outcome) -> Verdict | None:
         if isinstance(outcome, Delivered | Failed):
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -153,9 +153,9 @@
         sender.updated_at = now
         self._record_ends(sender, message.ended, now)
         freed = self._update_runs(sender, message.runs, now)
-        kept = {item.number for item in message.asks}
-        kept.update(item.number for item in message.runs)
-        for number in [item for item in sender.requests if item not in kept]:
+        listed = {item.number for item in message.asks}
+        listed.update(item.number for item in message.runs)
+        for number in [item for item in sender.requests if item not in listed]:
             self._drop(sender.requests.pop(number))
             freed = True
         self._record_observations(message.tokens, now)
--- a/src/jasminerelay/stopping.py
+++ b/src/jasminerelay/stopping.py
@@ -36,7 +36,7 @@
     grace_s: float
 
     @property
-    def ends(self) -> float:
+    def exit_by(self) -> float:
         """Monotonic time by which the process must have exited."""
         return self.began + self.grace_s - EXIT_MARGIN_S
 
@@ -45,11 +45,11 @@
         accept_all_s = min(ACCEPT_ALL_S, self.grace_s / 3)
         if now - self.began < accept_all_s:
             return True
-        return now + limit_s < self.ends
+        return now + limit_s < self.exit_by
 
     def over(self, under_way: int, now: float) -> bool:
         """Returns whether the process should exit now."""
-        if now >= self.ends:
+        if now >= self.exit_by:
             return True
         min_stay_s = self.grace_s * MIN_STAY_SHARE
         return under_way == 0 and now - self.began >= min_stay_s
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -411,7 +411,7 @@
     Safeguard(
         "a stopping instance refuses requests that cannot end in time",
         "stopping",
-        "return now + limit_s < self.ends",
+        "return now + limit_s < self.exit_by",
         "return True",
         "test_workload.StopTest.test_takes_what_can_end",
     ),
