--- a/src/jasminerelay/asking.py
+++ b/src/jasminerelay/asking.py
@@ -26,9 +26,9 @@
     REFUSED,
     US,
     WAITING,
-    in_flight_request,
+    in_flight_report,
     placement_request,
-    request_end,
+    request_end_report,
 )
 from jasminerelay.placing import Placed
 from jasminerelay.registry import Registry
@@ -205,14 +205,14 @@
             return await self._local.enter(call, avoid)
         self._pending[pending.number] = pending
         self._send_update(pending.cell)
-        seat = None
+        reservation = None
         try:
-            seat = await self._await_placement(pending)
+            reservation = await self._await_placement(pending)
         finally:
             del self._pending[pending.number]
-            if seat is None:
+            if reservation is None:
                 self._mark_due(pending.cell)
-        return seat or await self._local.enter(call, avoid)
+        return reservation or await self._local.enter(call, avoid)
 
     def owners(self) -> list[Member]:
         """Returns the other instances that own cells."""
@@ -378,7 +378,7 @@
         for end in workload.ended:
             cell = self._cell_of(end.server)
             if cell is not None:
-                self._ends.setdefault(cell, []).append(request_end(end))
+                self._ends.setdefault(cell, []).append(request_end_report(end))
                 found.add(cell)
         workload.ended.clear()
         for server in workload.touched:
@@ -459,7 +459,7 @@
                 placement_request(x.number, x.call, x.avoid, x.passed, now)
                 for x in asks
             ],
-            [in_flight_request(run) for run in runs],
+            [in_flight_report(run) for run in runs],
             self._ends.pop(cell, []),
             self._observations({run.server for run in runs}, now),
         )
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -150,16 +150,16 @@
         self._sent_at = 0.0
         self._continues_run = False
 
-    async def run(self, seat: Seat) -> Outcome:
+    async def run(self, reservation: Seat) -> Outcome:
         """Sends the request to the reserved server and relays the answer."""
-        server = seat.placed.server
+        server = reservation.placed.server
         try:
             channel = await self._kit.channels.acquire(server)
         except NotSentError as exc:
             return NotSent(str(exc))
         done = _Completion()
         try:
-            return await self._exchange(seat, channel, done)
+            return await self._exchange(reservation, channel, done)
         finally:
             if done.head is None:
                 with anyio.CancelScope(shield=True):
@@ -171,7 +171,7 @@
                 )
 
     async def _exchange(
-        self, seat: Seat, channel: Channel, done: "_Completion"
+        self, reservation: Seat, channel: Channel, done: "_Completion"
     ) -> Outcome:
         server = channel.server
         left_s = self._call.ends - time.monotonic()
@@ -183,7 +183,7 @@
             left_s,
             after=self._progress.last_event,
             copy=copy,
-            source=seat.placed.source,
+            source=reservation.placed.source,
         )
         request = httpcore.Request(
             self._call.method,
@@ -215,7 +215,9 @@
             self._kit.counters.incr("backend.crossed")
             return Unknown("received the answer to another request")
         if self._call.route.streaming and head.status == OK:
-            return await self._relay_stream(seat, channel, response, head, done)
+            return await self._relay_stream(
+                reservation, channel, response, head, done
+            )
         if not head.not_run:
             self._report_started(time.monotonic() - self._sent_at)
         return await self._read_answer(channel, response, head, done)
@@ -265,7 +267,7 @@
 
     async def _relay_stream(
         self,
-        seat: Seat,
+        reservation: Seat,
         channel: Channel,
         response: httpcore.Response,
         head: Head,
@@ -277,7 +279,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(self._move_when_leaving, server, leaving_event)
                 group.start_soon(self._move_when_slow, server)
-                outcome = await self._relay_events(seat, response, head)
+                outcome = await self._relay_events(reservation, response, head)
                 move_ended = self._move_ended
                 if move_ended is not None:
                     # The stream may end before the reply to the move order.
@@ -294,10 +296,10 @@
         return outcome
 
     async def _relay_events(
-        self, seat: Seat, response: httpcore.Response, head: Head
+        self, reservation: Seat, response: httpcore.Response, head: Head
     ) -> Outcome:
         splitter = sse.EventCutter()
-        timer = _StreamTimer(self._kit, self._call, seat, self._sent_at)
+        timer = _StreamTimer(self._kit, self._call, reservation, self._sent_at)
         progress = self._progress
         try:
             async for chunk in body_chunks(response):
@@ -343,28 +345,30 @@
             if self._move_ended is not None or self._progress.copy is not None:
                 return
             avoid = frozenset((server.id,))
-            seat = dispatcher.quicker(self._call, server, avoid)
-            if seat is not None:
-                await self._move(server, seat)
+            reservation = dispatcher.quicker(self._call, server, avoid)
+            if reservation is not None:
+                await self._move(server, reservation)
                 return
 
     def _tried_servers(self) -> frozenset[str]:
         return frozenset(self._progress.tried)
 
-    async def _move(self, server: BackendServer, seat: Seat | None) -> None:
-        if seat is None:
+    async def _move(
+        self, server: BackendServer, reservation: Seat | None
+    ) -> None:
+        if reservation is None:
             return
         if self._move_ended is not None or self._progress.copy is not None:
-            seat.run.end()
+            reservation.run.end()
             return
         self._move_ended = anyio.Event()
         self._progress.moves += 1
         try:
             self._progress.copy = await self._kit.evacuator.move(
-                self._call, server, seat.placed.server
+                self._call, server, reservation.placed.server
             )
         finally:
-            seat.run.end()
+            reservation.run.end()
             self._move_ended.set()
             self._move_ended = None
 
@@ -414,10 +418,10 @@
 class _StreamTimer:
     """Measures the latencies of one stream."""
 
-    def __init__(self, kit: Kit, call: Call, seat: Seat, sent_at: float):
+    def __init__(self, kit: Kit, call: Call, reservation: Seat, sent_at: float):
         self._kit = kit
         self._call = call
-        self._seat = seat
+        self._reservation = reservation
         self._sent_at = sent_at
         self._last_event_at = 0.0
         engine = kit.dispatcher.engine_of(call.service)
@@ -428,15 +432,15 @@
     def events(self, count: int) -> None:
         """Records events that have just arrived."""
         now = time.monotonic()
-        self._kit.dispatcher.heard(self._seat.placed.server.id, now)
+        self._kit.dispatcher.heard(self._reservation.placed.server.id, now)
         if not self.first_at:
             self.first_at = now
             self._record_prefill(now)
-            self._seat.run.read(now - self._sent_at)
+            self._reservation.run.read(now - self._sent_at)
             self._kit.queue.freed(self._call.service)
         else:
             self._kit.dispatcher.paces.observe(
-                self._seat.placed.server.id,
+                self._reservation.placed.server.id,
                 count * self.event_tokens,
                 now - self._last_event_at,
                 now,
@@ -445,9 +449,12 @@
         self._last_event_at = now
 
     def _record_prefill(self, now: float) -> None:
-        seat = self._seat
+        reservation = self._reservation
         self._kit.dispatcher.note_reading(
-            self._call, seat.placed, seat.run.ahead, now - self._sent_at
+            self._call,
+            reservation.placed,
+            reservation.run.ahead,
+            now - self._sent_at,
         )
 
 
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -67,20 +67,20 @@
     async def _serve(self) -> None:
         crashes = self._kit.crashes
         while True:
-            seat = None
+            reservation = None
             try:
                 if not crashes.blocks(self._call):
                     with crashes.unless_blocked(self._call):
-                        seat = await self._reserve()
+                        reservation = await self._reserve()
             except NoRoomError as exc:
                 await self._reject_unplaced(exc)
                 return
-            if seat is None:
+            if reservation is None:
                 await self._reject_blocked()
                 return
-            outcome = await self._attempt_at(seat)
-            self._record_health(seat.placed.server, outcome)
-            await self._record_crash(seat.placed.server, outcome)
+            outcome = await self._attempt_at(reservation)
+            self._record_health(reservation.placed.server, outcome)
+            await self._record_crash(reservation.placed.server, outcome)
             if not await next_step(outcome, self):
                 return
 
@@ -91,18 +91,18 @@
         avoid = frozenset(self._progress.tried)
         return await self._kit.queue.enter(self._call, avoid)
 
-    async def _attempt_at(self, seat: Seat) -> Outcome:
+    async def _attempt_at(self, reservation: Seat) -> Outcome:
         self._placed_at = self._placed_at or time.monotonic()
-        self._progress.tried.append(seat.placed.server.id)
-        self._progress.owners.append(seat.owner)
+        self._progress.tried.append(reservation.placed.server.id)
+        self._progress.owners.append(reservation.owner)
         verdict = None
         try:
-            outcome = await self._attempt.run(seat)
+            outcome = await self._attempt.run(reservation)
             verdict = self._verdict(outcome)
             self._log_fingerprint |= isinstance(outcome, Unknown | Interrupted)
             return outcome
         finally:
-            seat.run.end(verdict, self._progress.output)
+            reservation.run.end(verdict, self._progress.output)
             self._kit.queue.freed(self._call.service)
 
     def _verdict(self, outcome: Outcome) -> Verdict | None:
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -58,13 +58,13 @@
 
     Attributes:
         call: The request; None if it was placed elsewhere.
-        waiter: Its queue entry; None if it was placed elsewhere.
+        queue_entry: Its queue entry; None if it was placed elsewhere.
         run: Its in-flight record, once it is placed.
         answer: The owner's answer, once there is one.
     """
 
     call: Call | None = None
-    waiter: Waiter | None = None
+    queue_entry: Waiter | None = None
     run: Run | None = None
     answer: PlaceAnswer | None = None
 
@@ -123,7 +123,7 @@
         self._cell = cell
         self._registry = registry
         self._dispatcher = dispatcher
-        self._silences = silences
+        self._unresponsive = silences
         self._queues = queues
         self._answer = answer
         self._senders: dict[str, _Sender] = {}
@@ -237,16 +237,16 @@
         sender.requests[message.number] = request
         admitted = False
 
-        def settled(waiter: Waiter) -> None:
-            request.answer = placement_answer(message.number, waiter)
-            if waiter.refused is not None:
+        def settled(queue_entry: Waiter) -> None:
+            request.answer = placement_answer(message.number, queue_entry)
+            if queue_entry.refused is not None:
                 request.answer = self._redirect(message, call) or request.answer
-            if waiter.seat is not None:
-                request.run = waiter.seat.run
+            if queue_entry.seat is not None:
+                request.run = queue_entry.seat.run
             if admitted:
                 self._send(sender, [request.answer])
 
-        request.waiter = self.queue.admit(
+        request.queue_entry = self.queue.admit(
             call, frozenset(message.avoid), settled
         )
         admitted = True
@@ -316,10 +316,10 @@
     ) -> None:
         run.read(first_s)
         self._dispatcher.heard(run.server, now)
-        waiter = request.waiter
-        if waiter is not None and waiter.seat is not None:
+        queue_entry = request.queue_entry
+        if queue_entry is not None and queue_entry.seat is not None:
             self._dispatcher.note_reading(
-                request.call, waiter.seat.placed, run.ahead, first_s
+                request.call, queue_entry.seat.placed, run.ahead, first_s
             )
 
     def _record_ends(
@@ -343,7 +343,7 @@
     ) -> None:
         for item in tokens:
             if item.silent:
-                self._silences.told(item.server, now)
+                self._unresponsive.told(item.server, now)
             if item.token_us:
                 self._dispatcher.paces.hear(
                     item.server, item.token_us / US, now
@@ -354,8 +354,8 @@
                 )
 
     def _drop(self, request: _Request) -> None:
-        if request.waiter is not None:
-            self.queue.withdraw(request.waiter)
+        if request.queue_entry is not None:
+            self.queue.withdraw(request.queue_entry)
         if request.run is not None:
             request.run.end()
 
--- a/src/jasminerelay/placewords.py
+++ b/src/jasminerelay/placewords.py
@@ -92,14 +92,14 @@
     )
 
 
-def in_flight_request(run: Run) -> RunWord:
+def in_flight_report(run: Run) -> RunWord:
     """Returns the message about an in-flight request."""
     first_s = run.first_s
     first_ms = NO_VALUE if first_s is None else round(MS * first_s)
     return RunWord(run.number, run.server, run.unread, run.memory, first_ms)
 
 
-def request_end(end: End) -> EndWord:
+def request_end_report(end: End) -> EndWord:
     """Returns the message about a request that has ended."""
     return EndWord(
         end.number,
@@ -110,16 +110,16 @@
     )
 
 
-def placement_answer(number: int, waiter: Waiter) -> PlaceAnswer:
+def placement_answer(number: int, queue_entry: Waiter) -> PlaceAnswer:
     """Returns the answer for a request that was placed or refused."""
-    if waiter.refused is not None:
+    if queue_entry.refused is not None:
         return PlaceAnswer(
             number,
             REFUSED,
-            why=waiter.refused.message,
-            retry_ms=round(MS * (waiter.refused.retry_s or 0.0)),
+            why=queue_entry.refused.message,
+            retry_ms=round(MS * (queue_entry.refused.retry_s or 0.0)),
         )
-    placed = waiter.seat.placed
+    placed = queue_entry.seat.placed
     return PlaceAnswer(
         number,
         PLACED,
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -189,28 +189,28 @@
             self.local,
             self.counters,
         )
-        self.owned.answer = self._answer
-        self.asking.send = self._ask
+        self.owned.answer = self._send_answers
+        self.asking.send = self._send_update
         model = self.dispatcher.engines.of(SERVICE)
         for tokens in (1_000, 4_000, 8_000, 16_000) * 3:
             model.read(tokens, FIRST_EVENT_S + tokens * READ_TOKEN_S, 0.0)
             model.stepped(tokens // 1_000, TOKEN_S, 0.0)
 
-    def _ask(self, owner: Member, word) -> None:
+    def _send_update(self, owner: Member, message) -> None:
         dropped = {self.name, owner.instance} & self.site.crashed
         if dropped or self.site.lose():
             return
-        data = peerwords.encode(word)
+        data = peerwords.encode(message)
         self.site.nodes[owner.instance].owned.hear(peerwords.decode(data))
 
-    def _answer(self, address: str, word) -> None:
+    def _send_answers(self, address: str, message) -> None:
         to = address.removesuffix(":1")
         dropped = (
             to in self.site.answers_lost or {self.name, to} & self.site.crashed
         )
         if dropped or self.site.lose():
             return
-        data = peerwords.encode(word)
+        data = peerwords.encode(message)
         self.site.nodes[to].asking.hear(peerwords.decode(data))
 
 
@@ -241,7 +241,7 @@
         used = set()
         for node in site.nodes.values():
             node.dispatcher.engine_of = lambda service: None
-            node.asking.send = lambda owner, word: asked.append(owner)
+            node.asking.send = lambda owner, message: asked.append(owner)
             for number in range(4):
                 item = call(
                     f"{node.name}-{number}",
@@ -249,8 +249,8 @@
                     ends=time.monotonic() + 4.0,
                     prompt=None,
                 )
-                seat = await node.asking.enter(item, frozenset())
-                used.add(seat.placed.server.id)
+                reservation = await node.asking.enter(item, frozenset())
+                used.add(reservation.placed.server.id)
             self.assertIsNone(node.asking.placer_of("i-000"))
         self.assertEqual(asked, [])
         self.assertEqual(len(used), 3)
@@ -269,8 +269,8 @@
 
     def test_few_servers_move_when_one_is_removed(self) -> None:
         names = [f"s{number}" for number in range(300)]
-        before = _by_server(names)
-        after = _by_server(names[1:])
+        before = _cells_by_server(names)
+        after = _cells_by_server(names[1:])
         moved = [name for name in after if after[name] != before[name]]
         self.assertLess(len(moved), 30)
 
@@ -293,15 +293,15 @@
         # and places the request itself.
         node = Site(2, servers=4).nodes["n00"]
         answers = []
-        node.owned.answer = lambda address, word: answers.append(word)
+        node.owned.answer = lambda address, message: answers.append(message)
         for service, cell in ((SERVICE, 7), (SERVICE, -1), ("other", 0)):
             ask = placement_request(
                 1, next(prompts(1)), frozenset(), False, 0.0
             )
-            word = PlaceWord(
+            message = PlaceWord(
                 "n01", "n01:1", service, cell, 1, [ask], [], [], []
             )
-            node.owned.hear(word)
+            node.owned.hear(message)
             self.assertEqual(answers.pop().answers[0].state, FOREIGN)
         self.assertEqual(len(node.owned), 0)
 
@@ -309,12 +309,12 @@
         # Corrupt datagrams and those of other versions are rejected.
         ask = placement_request(1, next(prompts(1)), frozenset(), False, 0.0)
         uneven = dataclasses.replace(ask, part_tokens=[1, 2, 3])
-        word = PlaceWord("a", "a:1", SERVICE, 0, 1, [uneven], [], [], [])
+        message = PlaceWord("a", "a:1", SERVICE, 0, 1, [uneven], [], [], [])
         for data in (
             peerwords.PLACE_MARK,
             peerwords.OWNER_MARK + b"\x80",
             peerwords.PLACE_MARK + b"\xc1",
-            peerwords.encode(word),
+            peerwords.encode(message),
         ):
             with self.assertRaises(ValueError):
                 peerwords.decode(data)
@@ -373,7 +373,7 @@
         async with anyio.create_task_group() as group:
             calls = zip(site.nodes.values(), prompts(120, 3), strict=False)
             for node, item in calls:
-                group.start_soon(_enter, node, item)
+                group.start_soon(_reserve, node, item)
             await anyio.sleep(CHECK_INTERVAL_S)
             most = max(site.unread(f"i-{number:03}") for number in range(8))
             group.cancel_scope.cancel()
@@ -385,7 +385,7 @@
         # All slots are taken and twenty instances wait. One request ends at
         # one instance; exactly one waiting request gets the free slot.
         site = Site(30, servers=1)
-        seats: list[Seat] = []
+        reservations: list[Seat] = []
         waiting: list[Seat] = []
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
@@ -394,16 +394,16 @@
                 group.start_soon(node.owned.run)
             for item in prompts(28, 1):
                 with anyio.move_on_after(1.0):
-                    seat = await nodes[0].asking.enter(item, frozenset())
-                    seat.run.read(0.1)
+                    reservation = await nodes[0].asking.enter(item, frozenset())
+                    reservation.run.read(0.1)
                     nodes[0].asking.freed(SERVICE)
-                    seats.append(seat)
+                    reservations.append(reservation)
                 await anyio.sleep(BATCH_S * 2)
             for node, item in zip(nodes[1:21], prompts(20, 1), strict=True):
-                group.start_soon(_enter, node, item, waiting)
+                group.start_soon(_reserve, node, item, waiting)
             await anyio.sleep(CHECK_INTERVAL_S)
             before = len(waiting)
-            seats[0].run.end()
+            reservations[0].run.end()
             nodes[0].asking.freed(SERVICE)
             await _until(lambda: len(waiting) > before)
             await anyio.sleep(CHECK_INTERVAL_S)
@@ -424,23 +424,27 @@
         # longer than the repeated prefill takes go to the other cell.
         site = Site(40, servers=16)
         nodes = list(site.nodes.values())
-        seats: list[Seat] = []
+        reservations: list[Seat] = []
         async with anyio.create_task_group() as group:
             for node in nodes:
                 group.start_soon(node.asking.run)
                 group.start_soon(node.owned.run)
             group.start_soon(site.publish_queues)
             for node, item in zip(nodes, prompts(8), strict=False):
-                group.start_soon(_enter_if_room, node, item, [])
+                group.start_soon(_reserve_if_possible, node, item, [])
             await anyio.sleep(0.05)
             for number, item in enumerate(prompts(120, 1)):
                 group.start_soon(
-                    _enter_if_room, nodes[number % 40], item, seats
+                    _reserve_if_possible, nodes[number % 40], item, reservations
                 )
             split = cells.cells_of(x.id for x in nodes[0].registry.servers())
             await _until(
                 lambda: all(
-                    {seat.placed.server.id for seat in seats} & set(cell)
+                    {
+                        reservation.placed.server.id
+                        for reservation in reservations
+                    }
+                    & set(cell)
                     for cell in split
                 )
             )
@@ -458,7 +462,9 @@
                 group.start_soon(node.owned.run)
             group.start_soon(site.publish_queues)
             for number, item in enumerate(prompts(60, 60)):
-                group.start_soon(_enter_if_room, nodes[number % 40], item, [])
+                group.start_soon(
+                    _reserve_if_possible, nodes[number % 40], item, []
+                )
             await anyio.sleep(0.4)
             group.cancel_scope.cancel()
         self.assertEqual(_redirects(nodes), 0)
@@ -507,7 +513,7 @@
             own = len(owner.dispatcher.workload.runs)
             names = [item.id for item in owner.registry.servers()]
             truth = sum(site.running(name) for name in names) - own
-            await _until(lambda: _running(site.owner_of(0).owned) == truth)
+            await _until(lambda: _in_flight(site.owner_of(0).owned) == truth)
             group.cancel_scope.cancel()
 
     async def test_two_owners_at_once(self) -> None:
@@ -522,18 +528,18 @@
         live = [node.member for node in nodes if node is not site.owner_of(0)]
         for node in nodes[::2]:
             node.asking.saw_instances(100, live)
-        seats: list[Seat] = []
+        reservations: list[Seat] = []
         async with anyio.create_task_group() as group:
             for node in nodes:
                 group.start_soon(node.asking.run)
                 group.start_soon(node.owned.run)
             for number, item in enumerate(prompts(400, 50)):
                 group.start_soon(
-                    _enter_if_room, nodes[number % 40], item, seats
+                    _reserve_if_possible, nodes[number % 40], item, reservations
                 )
             await anyio.sleep(3 * CHECK_INTERVAL_S)
-            for seat in seats:
-                seat.run.read(0.1)
+            for reservation in reservations:
+                reservation.run.read(0.1)
             await anyio.sleep(3 * CHECK_INTERVAL_S)
             most = max(site.running(f"i-{number:03}") for number in range(2))
             group.cancel_scope.cancel()
@@ -541,7 +547,7 @@
             sum(node.owned.loads(time.monotonic()) != [] for node in nodes), 2
         )
         self.assertLessEqual(most, 2 * int(SLOTS * RUN_SHARE))
-        runs = [seat.run for seat in seats]
+        runs = [reservation.run for reservation in reservations]
         self.assertEqual(len({id(run) for run in runs}), len(runs))
 
     async def test_lost_answer_frees_reservation(self) -> None:
@@ -555,9 +561,9 @@
             group.start_soon(node.asking.run)
             await node.asking.enter(next(prompts(1)), frozenset())
             owned = site.owner_of(0).owned
-            await _until(lambda: _running(owned) == 1)
+            await _until(lambda: _in_flight(owned) == 1)
             await anyio.sleep(2 * CHECK_INTERVAL_S)
-            self.assertEqual(_running(owned), 1)
+            self.assertEqual(_in_flight(owned), 1)
             group.cancel_scope.cancel()
 
     async def test_sender_crashes(self) -> None:
@@ -568,7 +574,7 @@
         await node.asking.enter(next(prompts(1)), frozenset())
         owned = site.owner_of(0).owned
         owned.tick(time.monotonic())
-        self.assertEqual(_running(owned), 1)
+        self.assertEqual(_in_flight(owned), 1)
         owned.tick(time.monotonic() + SENDER_TIMEOUT_S + 0.1)
         self.assertEqual(len(owned), 0)
 
@@ -622,22 +628,26 @@
     return sum(item.get("place.passed", 0) for item in counts)
 
 
-async def _enter(node: Node, item: Call, seats: list | None = None) -> None:
-    seat = await node.asking.enter(item, frozenset())
-    if seats is not None:
-        seats.append(seat)
+async def _reserve(
+    node: Node, item: Call, reservations: list | None = None
+) -> None:
+    reservation = await node.asking.enter(item, frozenset())
+    if reservations is not None:
+        reservations.append(reservation)
 
 
-async def _enter_if_room(node: Node, item: Call, seats: list) -> None:
+async def _reserve_if_possible(
+    node: Node, item: Call, reservations: list
+) -> None:
     with contextlib.suppress(NoRoomError):
-        await _enter(node, item, seats)
+        await _reserve(node, item, reservations)
 
 
-def _running(owned: OwnedCells) -> int:
+def _in_flight(owned: OwnedCells) -> int:
     return sum(item.running for item in owned.loads(time.monotonic()))
 
 
-def _by_server(names: list[str]) -> dict[str, int]:
+def _cells_by_server(names: list[str]) -> dict[str, int]:
     return {
         name: number
         for number, cell in enumerate(cells.cells_of(names))
--- a/tests/test_ownersmodel.py
+++ b/tests/test_ownersmodel.py
@@ -39,7 +39,7 @@
 
     call: Call
     node: Node
-    seat: Seat | None = None
+    reservation: Seat | None = None
     refused: bool = False
     left: bool = False
     ended: bool = False
@@ -91,7 +91,7 @@
             group.start_soon(self._run_request, request)
         for request in self._requests:
             alive = request.node.name not in self._site.crashed
-            if alive and request.seat is not None and not request.ended:
+            if alive and request.reservation is not None and not request.ended:
                 self._advance(request)
         event = self._rng.random()
         if event < 0.05 and len(self._site.crashed) < MAX_CRASHED:
@@ -118,7 +118,7 @@
                 request.left = True
 
     def _advance(self, request: _Request) -> None:
-        run = request.seat.run
+        run = request.reservation.run
         if run.first_s is None:
             if self._rng.random() < 0.4:
                 run.read(0.05)
@@ -132,10 +132,10 @@
         timeout_s = self._rng.choice((0.05, 60.0))
         with anyio.move_on_after(timeout_s) as scope:
             with contextlib.suppress(NoRoomError):
-                request.seat = await request.node.asking.enter(
+                request.reservation = await request.node.asking.enter(
                     request.call, frozenset()
                 )
-            request.refused = request.seat is None
+            request.refused = request.reservation is None
         request.left |= scope.cancelled_caught
 
     def _unanswered(self) -> list[str]:
@@ -143,7 +143,7 @@
         return [
             f"{request.call.id} waits although servers have capacity"
             for request in self._requests
-            if not (request.seat or request.refused or request.left)
+            if not (request.reservation or request.refused or request.left)
             and not self._has_queue(request)
         ]
 
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -29,12 +29,14 @@
             node.owned.answer = lambda _, message, node=node: (
                 self.answers_sent.append((node, message))
             )
-        self.seats: list[Seat] = []
+        self.reservations: list[Seat] = []
 
-    async def enter(self) -> None:
+    async def reserve(self) -> None:
         """Requests a placement for one request."""
-        seat = await self.node.asking.enter(next(prompts(1)), frozenset())
-        self.seats.append(seat)
+        reservation = await self.node.asking.enter(
+            next(prompts(1)), frozenset()
+        )
+        self.reservations.append(reservation)
 
     async def deliver(self, answers_sent, times: int = 1) -> None:
         """Delivers owners' answers to the instance, `times` times each."""
@@ -46,17 +48,17 @@
 
     def assert_one_run(self) -> None:
         """Asserts that the request has exactly one placement."""
-        self.assertEqual(len(self.seats), 1)
+        self.assertEqual(len(self.reservations), 1)
         self.assertEqual(
             list(self.node.dispatcher.workload.runs.values()),
-            [self.seats[0].run],
+            [self.reservations[0].run],
         )
 
     async def test_answer_after_local_placement(self) -> None:
         # The owner's answer arrives after the instance has placed the request
         # itself. It is ignored.
-        await self.enter()
-        self.assertEqual(self.seats[0].owner, "")
+        await self.reserve()
+        self.assertEqual(self.reservations[0].owner, "")
         self.assertTrue(self.answers_sent)
         await self.deliver(self.answers_sent, times=3)
         await anyio.sleep(SOON_S)
@@ -67,7 +69,7 @@
         # request proceeds and after.
         self.hold_answers()
         async with anyio.create_task_group() as group:
-            group.start_soon(self.enter)
+            group.start_soon(self.reserve)
             await anyio.sleep(SOON_S)
             await self.deliver(self.answers_sent, times=3)
             await anyio.sleep(SOON_S)
@@ -80,7 +82,7 @@
         self.hold_answers()
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.asking.run)
-            group.start_soon(self.enter)
+            group.start_soon(self.reserve)
             await anyio.sleep(3 * asking.WAITING_UPDATE_INTERVAL_S)
             await self.deliver(self.answers_sent)
             await anyio.sleep(SOON_S)
@@ -100,7 +102,7 @@
         former = self.site.owner_of(self.cell())
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.asking.run)
-            group.start_soon(self.enter)
+            group.start_soon(self.reserve)
             await anyio.sleep(SOON_S)
             former.counted_live = False
             self.site.publish_membership()
@@ -113,7 +115,7 @@
             node.name for node, message in self.answers_sent if message.answers
         }
         self.assertEqual(len(owners), 2)
-        self.assertNotEqual(self.seats[0].owner, former.name)
+        self.assertNotEqual(self.reservations[0].owner, former.name)
         self.assert_one_run()
 
     def hold_answers(self) -> None:
