--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -1,9 +1,9 @@
-"""Grants permits for one cell: who goes next, and to which backend server.
+"""Grants permits for one cell: picks the next request and its backend server.
 
-All state is soft. When the broker of a cell changes, the instances tell the
-new one what they hold and ask again for what they wait for. Two brokers at
-once may grant more than the cell has slots for a moment; no promise to a
-caller rests on a permit.
+All state is soft. When the broker of a cell changes, the instances report the
+permits that they hold to the new broker and request the missing ones again.
+While two brokers are active for the same cell, they may briefly grant more
+permits than it has slots; no guarantee to a caller depends on a permit.
 """
 
 import collections
@@ -29,33 +29,35 @@
 REFUSED_LATE = "late"
 REFUSED_NO_SERVER = "no_server"
 REFUSED_UNKNOWN_CELL = "unknown_cell"
-"""The manifest in force at the broker has no such cell, or not yet."""
+"""The broker's current manifest does not contain the cell, or not yet."""
 
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 60.0
 INITIAL_SERVICE_S = 1.0
 SERVICE_SMOOTHING = 0.05
-SETTLE_S = 1.5
-"""Age at which a permit must show up in its server's load report.
+REPORT_LAG_S = 1.5
+"""Age from which a permit is expected to appear in its server's load report.
 
-Reports lag, so running work below that age is counted from the permits alone.
+Load reports lag, so requests granted more recently are counted from their
+permits alone.
 """
 
 
 @dataclasses.dataclass(frozen=True)
 class Permit:
-    """A grant that is out.
+    """A permit granted and not yet released.
 
     Attributes:
-        ask_id: Identity of the ask that it answers.
+        ask_id: ID of the permit request.
         entry: Instance that holds it.
-        server: Backend server that it names.
+        server: Backend server to which the request may be sent.
         rank: Rank of the request.
-        organisation: Who sent the request; empty if told by a holder.
-        weight: Share of the organisation.
-        work: Tokens charged at the grant.
-        preemptible: Whether it may be taken back.
-        granted_at: Time of the grant in seconds.
+        organisation: Organisation that sent the request; empty if the permit
+            was reported by its holder.
+        weight: Fair-share weight of the organisation.
+        work: Estimated tokens charged to the organisation at the grant.
+        preemptible: Whether the permit may be revoked for a higher rank.
+        granted_at: Monotonic time of the grant in seconds.
     """
 
     ask_id: str
@@ -71,7 +73,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """One message that the broker sends to an instance."""
+    """A message from the broker to an instance.
+
+    Attributes:
+        entry: Instance that receives the message.
+        message: Grant, refusal or revocation.
+    """
 
     entry: str
     message: Grant | Refusal | Revoke
@@ -80,7 +87,8 @@
 class Broker:
     """Queue and permits of one cell.
 
-    Pure: every method takes the time and returns decisions or nothing.
+    Does no I/O and reads no clock: callers pass the time in, and `step`
+    returns the decisions to send.
 
     Example:
         >>> broker = Broker(cell)                      # doctest: +SKIP
@@ -90,24 +98,25 @@
     """
 
     def __init__(self, cell: Cell, share: float = 1.0):
-        """Makes a broker.
+        """Initialises the broker.
 
         Args:
-            cell: The cell that it grants.
-            share: Share of each server's slots that it may grant; below 1
-                for an instance that has lost its broker.
+            cell: Cell whose permits it grants.
+            share: Fraction of each server's slots that it may grant; below 1
+                for the local fallback of an instance that cannot reach the
+                cell's broker.
         """
-        self._share = share
+        self._slot_share = share
         self._tiers: dict[int, Tier] = collections.defaultdict(Tier)
         self._waiting: dict[str, Waiting] = {}
         self._permits: dict[str, Permit] = {}
         self._granted: collections.Counter[str] = collections.Counter()
         self._credit: dict[int, float] = {}
-        self._last_was_floor = False
-        self._unexplained: dict[str, int] = {}
+        self._last_grant_was_floor = False
+        self._unattributed: dict[str, int] = {}
         self._leaving: set[str] = set()
-        self._service_s = INITIAL_SERVICE_S
-        self._refused: list[Decision] = []
+        self._mean_service_s = INITIAL_SERVICE_S
+        self._pending_decisions: list[Decision] = []
         self._revoked: set[str] = set()
         self.prefixes = PrefixIndex()
         self.stragglers = Stragglers()
@@ -115,54 +124,56 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return len(self._waiting)
 
     @property
     def held(self) -> int:
-        """Permits that are out."""
+        """Number of permits granted and not yet released."""
         return len(self._permits)
 
-    def waiting_entries(self) -> set[str]:
-        """Returns the instances that have requests waiting here."""
+    def waiting_instances(self) -> set[str]:
+        """Returns the instances that have queued requests."""
         return {waiting.entry for waiting in self._waiting.values()}
 
     def update(self, cell: Cell) -> None:
-        """Takes a new description of the cell from a newer manifest."""
+        """Replaces the cell's definition with that of a newer manifest."""
         self._cell = cell
         self._servers = {
             server.name: dataclasses.replace(
-                server, slots=max(1, math.floor(server.slots * self._share))
+                server,
+                slots=max(1, math.floor(server.slots * self._slot_share)),
             )
             for server in cell.servers
         }
 
     def ask(self, waiting: Waiting, now: float) -> None:
-        """Queues a request, or refuses it for the next `step`.
+        """Queues a request, or schedules its refusal for the next `step`.
 
-        Asking twice is harmless: a holder of a permit is told it again.
+        Idempotent: if the request already has a permit, the grant is sent
+        again.
         """
         if waiting.ask_id in self._waiting:
             return
         permit = self._permits.get(waiting.ask_id)
         if permit is not None:
             grant = Grant(permit.ask_id, self._cell.name, permit.server)
-            self._refused.append(Decision(permit.entry, grant))
+            self._pending_decisions.append(Decision(permit.entry, grant))
             return
         full = len(self._waiting) >= self._cell.max_waiting
-        if full and not self._make_room(waiting):
+        if full and not self._admit(waiting):
             self._refuse(waiting, REFUSED_FULL)
             return
         self._tiers[waiting.rank].add(waiting)
         self._waiting[waiting.ask_id] = waiting
 
     def hold(self, held: Held, entry: str, now: float) -> None:
-        """Takes an instance's word that it holds a permit."""
+        """Records a permit that an instance reports as held."""
         if held.ask_id in self._permits:
             return
         queued = self._waiting.get(held.ask_id)
         if queued is not None:
-            self._take_out(queued)
+            self._dequeue(queued)
         self._add_permit(
             Permit(
                 held.ask_id,
@@ -178,10 +189,10 @@
         )
 
     def release(self, release: Release, now: float) -> None:
-        """Ends a permit or an ask."""
+        """Releases a permit, or withdraws a queued request."""
         queued = self._waiting.get(release.ask_id)
         if queued is not None:
-            self._take_out(queued)
+            self._dequeue(queued)
         permit = self._permits.pop(release.ask_id, None)
         if permit is None:
             return
@@ -198,14 +209,22 @@
             self.stragglers.failed(permit.server, now)
             return
         self.stragglers.succeeded(permit.server)
-        took = now - permit.granted_at
-        self._service_s += SERVICE_SMOOTHING * (took - self._service_s)
+        service_s = now - permit.granted_at
+        self._mean_service_s += SERVICE_SMOOTHING * (
+            service_s - self._mean_service_s
+        )
+
+    def remove_instance(self, entry: str, *, permits: bool) -> None:
+        """Removes an instance's queued requests and, on request, its permits.
 
-    def forget_entry(self, entry: str, *, permits: bool) -> None:
-        """Drops an instance's asks and, if it has failed, its permits."""
+        Args:
+            entry: The instance.
+            permits: Whether to drop its permits too, as for an instance that
+                has failed.
+        """
         gone = [item for item in self._waiting.values() if item.entry == entry]
         for item in gone:
-            self._take_out(item)
+            self._dequeue(item)
         if not permits:
             return
         for permit in [p for p in self._permits.values() if p.entry == entry]:
@@ -214,36 +233,38 @@
             self._granted[permit.server] -= 1
 
     def report(self, server: str, report: LoadReport, now: float) -> None:
-        """Takes a load report of a backend server.
+        """Records a load report of a backend server.
 
-        Work that it reports and no permit explains was granted by another
-        broker, or its holder has failed; it takes up slots all the same.
+        Requests in the report that no permit accounts for were granted by
+        another broker, or the instance that held their permits has failed.
+        They occupy slots all the same.
         """
         seen_at = now - report.age_s
         settled = sum(
             1
             for permit in self._permits.values()
             if permit.server == server
-            and permit.granted_at <= seen_at - SETTLE_S
+            and permit.granted_at <= seen_at - REPORT_LAG_S
         )
         recent = self._granted[server] - settled
         reported = report.running + report.waiting
-        # A share is this instance's own, whatever the others run. Counting
-        # their work against it would leave it no slot at all.
-        if self._share == 1.0:
-            self._unexplained[server] = max(0, reported - settled - recent)
+        # A local fallback grants only this instance's share of the slots.
+        # Counting other instances' requests against that share could leave
+        # it without any slot.
+        if self._slot_share == 1.0:
+            self._unattributed[server] = max(0, reported - settled - recent)
         self.stragglers.observe(server, report.step_s)
 
     def set_leaving(self, servers: set[str]) -> None:
-        """Takes which backend servers are leaving; they get no new work."""
+        """Sets the leaving backend servers, which get no new requests."""
         self._leaving = servers
 
     def step(self, now: float) -> list[Decision]:
-        """Returns the decisions that are due."""
+        """Refuses expired requests, grants free slots; returns decisions."""
         for waiting in [w for w in self._waiting.values() if w.expires <= now]:
-            self._take_out(waiting)
+            self._dequeue(waiting)
             self._refuse(waiting, REFUSED_LATE)
-        decisions, self._refused = self._refused, []
+        decisions, self._pending_decisions = self._pending_decisions, []
         while True:
             decision = self._grant_next(now)
             if decision is None:
@@ -254,19 +275,19 @@
         return decisions + self._preempt()
 
     def next_expiry(self) -> float:
-        """Returns when the next waiting request expires, or infinity."""
+        """Returns the earliest expiry among queued requests, or infinity."""
         return min(
             (waiting.expires for waiting in self._waiting.values()),
             default=math.inf,
         )
 
     def retry_s(self, rank: int) -> float:
-        """Returns after how many seconds a refused request may find room."""
+        """Returns the retry delay in seconds, estimated from the queue."""
         ahead = sum(
             len(tier) for other, tier in self._tiers.items() if other <= rank
         )
         slots = sum(server.slots for server in self._servers.values()) or 1
-        drained = (ahead + 1) * self._service_s / slots
+        drained = (ahead + 1) * self._mean_service_s / slots
         return min(MAX_RETRY_S, max(MIN_RETRY_S, drained))
 
     def _grant_next(self, now: float) -> Decision | None:
@@ -277,21 +298,21 @@
         order = ranks if floor is None else [floor, *ranks]
         unplaced: set[int] = set()
         for rank in order:
-            waiting = self._tiers[rank].next()
+            waiting = self._tiers[rank].peek()
             if waiting is None:
                 continue
-            if rank != floor and not self._leaves_free(waiting):
+            if rank != floor and not self._keeps_slots_free(waiting):
                 continue
             chosen = routing.choose(waiting, self._candidates(waiting, now))
             if chosen is None:
                 unplaced.add(rank)
                 continue
-            self._count_floor(rank, ranks, unplaced, used=rank == floor)
+            self._update_floor_credit(rank, ranks, unplaced, used=rank == floor)
             return self._grant(waiting, chosen.server.name, now)
         return None
 
     def _grant(self, waiting: Waiting, server: str, now: float) -> Decision:
-        self._take_out(waiting)
+        self._dequeue(waiting)
         self._tiers[waiting.rank].charge(
             waiting.organisation, waiting.work, waiting.weight
         )
@@ -313,15 +334,16 @@
         return Decision(waiting.entry, grant)
 
     def _preempt(self) -> list[Decision]:
-        """Takes permits of lower ranks back for requests that still wait.
+        """Revokes permits of lower ranks for requests that are still queued.
 
-        One for each waiting request, from the lowest rank upward and the
-        newest first, as it has the least to prefill again.
+        Revokes at most one permit per queued request, from the lowest rank
+        upward. Within a rank the newest permit goes first, since its request
+        has the fewest tokens to prefill again.
         """
         waiting: list[int] = []
         for rank in sorted(self._tiers):
-            first = self._tiers[rank].next()
-            if first is not None and self._leaves_free(first):
+            first = self._tiers[rank].peek()
+            if first is not None and self._keeps_slots_free(first):
                 waiting += [rank] * len(self._tiers[rank])
         missing = len(waiting) - len(self._revoked)
         if missing <= 0:
@@ -343,31 +365,32 @@
         return decisions
 
     def _floor_rank(self, ranks: list[int]) -> int | None:
-        """Returns the rank whose guaranteed grant is due.
+        """Returns the rank whose guaranteed minimum (floor) grant is due.
 
-        Never twice in a row, so that a request of the highest rank is
-        delayed by at most one such grant.
+        Never returns one twice in a row, so that a request of the highest
+        rank is delayed by at most one such grant.
         """
-        if self._last_was_floor:
+        if self._last_grant_was_floor:
             return None
         due = [rank for rank in ranks if self._credit.get(rank, 0.0) >= 1.0]
         return max(due, default=None)
 
-    def _count_floor(
+    def _update_floor_credit(
         self, granted: int, ranks: list[int], unplaced: set[int], *, used: bool
     ) -> None:
-        """Adds each waiting tier's share to its credit for the next floor.
+        """Adds each waiting tier's floor share to its credit after a grant.
 
         Raises:
             InvariantError: if a tier waits for more grants than its bound:
-                one in 1 / share, and then turns with every other tier.
+                1 / share, plus a turn with every other tier.
         """
-        self._last_was_floor = used
+        self._last_grant_was_floor = used
         for rank in ranks:
-            first = self._tiers[rank].next()
+            first = self._tiers[rank].peek()
             if first is None or rank in unplaced:
-                # No free slot on a server that may take it: not the order's
-                # doing, so it neither earns nor starves.
+                # No eligible server has a free slot. The scheduling order is
+                # not the cause, so the tier earns no credit and does not
+                # count as starved.
                 continue
             if rank == granted:
                 self._credit[rank] = 0.0
@@ -376,33 +399,34 @@
             turns = 2 * len(ranks) + 1
             if credit > 1.0 + first.floor_share * turns:
                 raise InvariantError(
-                    f"rank {rank} starves in cell {self._cell.name}:"
-                    f" credit {credit:.2f}, share {first.floor_share}"
+                    f"rank {rank} is starved in cell {self._cell.name}:"
+                    f" credit {credit:.2f}, floor share {first.floor_share}"
                 )
             self._credit[rank] = credit
 
-    def _leaves_free(self, waiting: Waiting) -> bool:
-        """Returns whether a grant leaves the slots free that it must.
+    def _keeps_slots_free(self, waiting: Waiting) -> bool:
+        """Returns whether a grant keeps the required share of slots free.
 
-        When long answers hold every slot, none frees for a while, and a
-        request of a higher rank misses its target although it goes first.
+        When long answers occupy every slot, none becomes free for a while,
+        and a request of a higher rank misses its target even though it is
+        first in the queue.
         """
         if not waiting.leave_free:
             return True
         servers = self._usable()
         slots = sum(server.slots for server in servers)
         taken = sum(
-            self._granted[server.name] + self._unexplained.get(server.name, 0)
+            self._granted[server.name] + self._unattributed.get(server.name, 0)
             for server in servers
         )
         left = slots - taken + self._preemptible_below(waiting.rank)
         return left > math.ceil(waiting.leave_free * slots)
 
     def _preemptible_below(self, rank: int) -> int:
-        """Returns how many permits of lower ranks can be taken back at once.
+        """Returns how many permits of lower ranks can be revoked at once.
 
-        Such a slot is as good as free for a higher rank, and does useful
-        work until then.
+        Their slots count as free for a higher rank, and do useful work until
+        they are revoked.
         """
         return sum(
             permit.preemptible and permit.rank > rank
@@ -415,10 +439,10 @@
         candidates = []
         for server in self._usable():
             name = server.name
-            unexplained = self._unexplained.get(name, 0)
+            unexplained = self._unattributed.get(name, 0)
             if server.slots - self._granted[name] - unexplained <= 0:
                 continue
-            if self._resting(name, now):
+            if self._backing_off(name, now):
                 continue
             candidates.append(
                 routing.Candidate(
@@ -431,7 +455,7 @@
             )
         return candidates
 
-    def _resting(self, server: str, now: float) -> bool:
+    def _backing_off(self, server: str, now: float) -> bool:
         if self.stragglers.blocked(server, now):
             return True
         return self.stragglers.probing(server) and self._granted[server] > 0
@@ -443,30 +467,33 @@
             if server.name not in self._leaving
         ]
 
-    def _guaranteed(self, waiting: Waiting) -> int:
-        """Returns how many requests of a tier may wait in any case.
+    def _guaranteed_queue_length(self, waiting: Waiting) -> int:
+        """Returns how many requests of the tier may always be queued.
 
-        Without it, higher tiers that fill the queue would keep the lowest
-        one out of it for ever, and its share of grants would be worth
-        nothing.
+        Without this minimum, higher tiers that fill the queue would keep the
+        lowest tier out of it, and its guaranteed share of grants would have
+        no effect.
         """
         if not waiting.floor_share:
             return 0
         return math.ceil(waiting.floor_share * self._cell.max_waiting)
 
-    def _make_room(self, newcomer: Waiting) -> bool:
-        """Sheds a waiting request if it must; returns whether there is room.
+    def _admit(self, newcomer: Waiting) -> bool:
+        """Returns whether a full queue admits the request, shedding if needed.
 
-        It sheds from the lowest tier that has more than its guaranteed room,
-        and within a tier the newest, so that a request which was refused
-        before and comes back by its age takes the place of a younger one.
+        Sheds from the lowest tier that exceeds its guaranteed queue length,
+        and within a tier the newest request. A request that was refused
+        before and returns with its age therefore replaces a younger one.
         """
         if newcomer.started:
-            # Bounded by the slots; what was delivered would be wasted.
+            # Refusing it would waste the tokens already delivered. The number
+            # of such requests is bounded by the slots.
             return True
-        if len(self._tiers[newcomer.rank]) < self._guaranteed(newcomer):
+        if len(self._tiers[newcomer.rank]) < self._guaranteed_queue_length(
+            newcomer
+        ):
             return True
-        victim = self._victim()
+        victim = self._shed_candidate()
         if victim is None or victim.rank < newcomer.rank:
             return False
         younger = victim.arrived > newcomer.arrived
@@ -474,31 +501,31 @@
             return False
         if victim.started or (victim.protected and not newcomer.protected):
             return False
-        self._take_out(victim)
+        self._dequeue(victim)
         self._refuse(victim, REFUSED_FULL)
         return True
 
-    def _victim(self) -> Waiting | None:
+    def _shed_candidate(self) -> Waiting | None:
         for rank in sorted(self._tiers, reverse=True):
-            last = self._tiers[rank].last()
+            last = self._tiers[rank].shed_candidate()
             if last is None:
                 continue
-            if len(self._tiers[rank]) > self._guaranteed(last):
+            if len(self._tiers[rank]) > self._guaranteed_queue_length(last):
                 return last
         return None
 
     def _refuse(self, waiting: Waiting, reason: str) -> None:
         refusal = Refusal(waiting.ask_id, reason, self.retry_s(waiting.rank))
-        self._refused.append(Decision(waiting.entry, refusal))
+        self._pending_decisions.append(Decision(waiting.entry, refusal))
 
     def _refuse_all(self) -> list[Decision]:
         for waiting in list(self._waiting.values()):
-            self._take_out(waiting)
+            self._dequeue(waiting)
             self._refuse(waiting, REFUSED_NO_SERVER)
-        refused, self._refused = self._refused, []
+        refused, self._pending_decisions = self._pending_decisions, []
         return refused
 
-    def _take_out(self, waiting: Waiting) -> None:
+    def _dequeue(self, waiting: Waiting) -> None:
         del self._waiting[waiting.ask_id]
         self._tiers[waiting.rank].remove(waiting)
 
--- a/src/jasminerelay/brokers.py
+++ b/src/jasminerelay/brokers.py
@@ -1,4 +1,4 @@
-"""Hosts the brokers and limit homes that fall to this instance."""
+"""Hosts the cell brokers and rate-limit buckets assigned to this instance."""
 
 import dataclasses
 import time
@@ -14,7 +14,7 @@
 from jasminerelay.loadwatch import LoadWatch
 from jasminerelay.manifest import Cell, Directory
 from jasminerelay.metrics import Counters, Invariants
-from jasminerelay.ordering import waiting_of
+from jasminerelay.ordering import queued_request
 from jasminerelay.schema.manifest import Server
 from jasminerelay.schema.messages import (
     Ask,
@@ -36,19 +36,19 @@
 HEARTBEAT_S = 0.2
 IDLE_S = 30.0
 WARM_UP_S = 0.3
-"""Longest time for which a fresh broker asks its servers before it grants.
+"""Longest time that a new broker waits for load reports before it grants.
 
-It does not know yet what others granted; the load reports tell it, so that
-it does not fill slots that are taken.
+It has no record yet of permits that other brokers granted. The load reports
+show those requests, so that it does not grant occupied slots.
 """
-ABSENT_S = 2.0
-"""Time for which an instance whose stream ended keeps its permits."""
+DISCONNECT_GRACE_S = 2.0
+"""Time for which a disconnected instance keeps its permits."""
 
 SendFrame = Callable[[BrokerFrame], None]
 
 
 @dataclasses.dataclass
-class _Hosted:
+class _HostedBroker:
     broker: Broker
     ready: bool
     used_at: float
@@ -63,7 +63,7 @@
 
 
 class BrokerHost:
-    """Owns the brokers of one instance and the sessions of those who ask."""
+    """Runs the brokers of one instance and its sessions with instances."""
 
     def __init__(
         self,
@@ -74,27 +74,27 @@
         self._directory = directory
         self._counters = counters
         self._invariants = invariants
-        self._hosted: dict[str, _Hosted] = {}
+        self._hosted: dict[str, _HostedBroker] = {}
         self._buckets: dict[str, Bucket] = {}
         self._sessions: dict[str, SendFrame] = {}
-        self._gone: dict[str, float] = {}
+        self._disconnected: dict[str, float] = {}
         self._leaving: set[str] = set()
         self._heartbeat_at = 0.0
         self._wake = anyio.Event()
         self._background: TaskGroup | None = None
-        self._watch: LoadWatch | None = None
+        self._load_poller: LoadWatch | None = None
 
     @property
     def cells(self) -> dict[str, tuple[int, int]]:
-        """Waiting requests and permits of each cell hosted here."""
+        """Counts of queued requests and of permits, by cell hosted here."""
         return {
             name: (hosted.broker.waiting, hosted.broker.held)
             for name, hosted in self._hosted.items()
         }
 
     def watch_with(self, watch: LoadWatch) -> None:
-        """Sets what asks the servers when a broker starts."""
-        self._watch = watch
+        """Sets the poller that fetches load reports when a broker starts."""
+        self._load_poller = watch
 
     async def run(self) -> None:
         """Steps the brokers until cancelled."""
@@ -105,28 +105,29 @@
                 self._tick(time.monotonic())
 
     def connect(self, entry: str, send: SendFrame) -> None:
-        """Starts the session of an instance, in place of an earlier one.
+        """Starts the session of an instance, replacing any earlier one.
 
-        The first frame of a session tells all that the instance holds. What
-        was known of it before goes: releases may have been lost with the
-        former connection, and their slots would stay taken for ever.
+        The first frame of a session lists every permit that the instance
+        holds. Earlier records of the instance are dropped: releases may have
+        been lost with the former connection, and their slots would stay
+        occupied for ever.
         """
         for hosted in self._hosted.values():
-            hosted.broker.forget_entry(entry, permits=True)
+            hosted.broker.remove_instance(entry, permits=True)
         self._sessions[entry] = send
-        self._gone.pop(entry, None)
+        self._disconnected.pop(entry, None)
 
     def disconnect(self, entry: str, send: SendFrame) -> None:
-        """Ends a session, unless a later one has taken its place."""
+        """Ends a session, unless a later one has replaced it."""
         if self._sessions.get(entry) is not send:
             return
         del self._sessions[entry]
-        self._gone[entry] = time.monotonic()
+        self._disconnected[entry] = time.monotonic()
         for hosted in self._hosted.values():
-            hosted.broker.forget_entry(entry, permits=False)
+            hosted.broker.remove_instance(entry, permits=False)
 
     def take(self, frame: EntryFrame) -> None:
-        """Takes a frame of an instance and answers what is due."""
+        """Handles a frame of an instance and sends the resulting decisions."""
         now = time.monotonic()
         for message in (
             *frame.held,
@@ -134,7 +135,7 @@
             *frame.asks,
             *frame.borrows,
         ):
-            self._take(message, frame.instance, now)
+            self._handle(message, frame.instance, now)
         touched = {
             message.cell
             for message in (*frame.held, *frame.releases, *frame.asks)
@@ -155,12 +156,12 @@
         ]
 
     def report(self, server: str, report: LoadReport, now: float) -> None:
-        """Takes a load report."""
+        """Passes a load report to the brokers of the server's cells."""
         for name in self._cells_of(server):
             self._hosted[name].broker.report(server, report, now)
 
     def cache_events(self, server: str, events: list[CacheEvent]) -> None:
-        """Takes cache events of a backend server."""
+        """Passes prefix cache events to the brokers of the server's cells."""
         for name in self._cells_of(server):
             prefixes = self._hosted[name].broker.prefixes
             for event in events:
@@ -185,55 +186,57 @@
         ]
 
     def set_leaving(self, servers: set[str]) -> None:
-        """Takes the backend servers that notices say are leaving."""
+        """Sets the backend servers that are leaving, according to gossip."""
         self._leaving = servers
         for hosted in self._hosted.values():
             hosted.broker.set_leaving(servers)
         self._step(set(self._hosted), time.monotonic())
 
     def manifest_changed(self) -> None:
-        """Takes over the cells of a newer manifest."""
+        """Applies the cells and limits of a newer manifest."""
         directory = self._directory()
         if directory is None:
             return
         self._buckets.clear()
         for name, hosted in self._hosted.items():
-            # A cell that is gone keeps no server, so that its broker refuses
-            # whatever still waits there.
+            # A cell that the manifest no longer contains has no server, so
+            # its broker refuses all requests still queued there.
             gone = Cell(name, (), 1)
             hosted.broker.update(directory.cells.get(name, gone))
         self._step(set(self._hosted), time.monotonic())
 
     @singledispatchmethod
-    def _take(self, message, entry: str, now: float) -> None:
-        raise TypeError(f"no such message: {message!r} of {entry} at {now}")
-
-    @_take.register
-    def _take_ask(self, message: Ask, entry: str, now: float) -> None:
-        hosted = self._host(message.cell, now)
+    def _handle(self, message, entry: str, now: float) -> None:
+        raise TypeError(f"unexpected message {message!r} from {entry} at {now}")
+
+    @_handle.register
+    def _handle_permit_request(
+        self, message: Ask, entry: str, now: float
+    ) -> None:
+        hosted = self._hosted_broker(message.cell, now)
         if hosted is None:
             outbox = _Outbox(
                 refusals=[Refusal(message.ask_id, REFUSED_UNKNOWN_CELL, 0.0)]
             )
             self._send(entry, outbox)
             return
-        hosted.broker.ask(waiting_of(message, entry, now), now)
+        hosted.broker.ask(queued_request(message, entry, now), now)
 
-    @_take.register
-    def _take_held(self, message: Held, entry: str, now: float) -> None:
-        hosted = self._host(message.cell, now)
+    @_handle.register
+    def _handle_held(self, message: Held, entry: str, now: float) -> None:
+        hosted = self._hosted_broker(message.cell, now)
         if hosted is not None:
             hosted.broker.hold(message, entry, now)
 
-    @_take.register
-    def _take_release(self, message: Release, entry: str, now: float) -> None:
+    @_handle.register
+    def _handle_release(self, message: Release, entry: str, now: float) -> None:
         del entry
         hosted = self._hosted.get(message.cell)
         if hosted is not None:
             hosted.broker.release(message, now)
 
-    @_take.register
-    def _take_borrow(self, message: Borrow, entry: str, now: float) -> None:
+    @_handle.register
+    def _handle_borrow(self, message: Borrow, entry: str, now: float) -> None:
         directory = self._directory()
         if directory is None:
             return
@@ -250,17 +253,17 @@
         loan = Loan(organisation.name, lent, bucket.retry_s(message.tokens))
         self._send(entry, _Outbox(loans=[loan]))
 
-    def _host(self, cell: str, now: float) -> _Hosted | None:
+    def _hosted_broker(self, cell: str, now: float) -> _HostedBroker | None:
         hosted = self._hosted.get(cell)
         if hosted is None:
             directory = self._directory()
             if directory is None or cell not in directory.cells:
                 return None
-            hosted = _Hosted(Broker(directory.cells[cell]), False, now)
+            hosted = _HostedBroker(Broker(directory.cells[cell]), False, now)
             self._hosted[cell] = hosted
             hosted.broker.set_leaving(self._leaving)
             self._counters.incr("broker.started")
-            if self._background is None or self._watch is None:
+            if self._background is None or self._load_poller is None:
                 hosted.ready = True
             else:
                 self._background.start_soon(self._warm_up, cell, hosted)
@@ -271,26 +274,27 @@
         if any(item.broker.waiting for item in self._hosted.values()):
             await anyio.sleep(TICK_S)
             return
-        # Nothing to expire: an idle instance should cost next to nothing.
+        # No queued request can expire, so sleep longer; an idle instance
+        # should use next to no CPU.
         self._wake = anyio.Event()
         with anyio.move_on_after(IDLE_TICK_S):
             await self._wake.wait()
 
-    async def _warm_up(self, cell: str, hosted: _Hosted) -> None:
+    async def _warm_up(self, cell: str, hosted: _HostedBroker) -> None:
         directory = self._directory()
         with anyio.move_on_after(WARM_UP_S):
             async with anyio.create_task_group() as group:
                 for server in directory.cells[cell].servers:
-                    group.start_soon(self._watch.ask, server)
+                    group.start_soon(self._load_poller.ask, server)
         hosted.ready = True
         self._step({cell}, time.monotonic())
 
     def _tick(self, now: float) -> None:
-        for entry, since in list(self._gone.items()):
-            if now - since > ABSENT_S:
-                del self._gone[entry]
+        for entry, since in list(self._disconnected.items()):
+            if now - since > DISCONNECT_GRACE_S:
+                del self._disconnected[entry]
                 for hosted in self._hosted.values():
-                    hosted.broker.forget_entry(entry, permits=True)
+                    hosted.broker.remove_instance(entry, permits=True)
         self._step(
             {
                 name
@@ -308,15 +312,15 @@
                 del self._hosted[name]
 
     def _heartbeat(self) -> None:
-        """Tells those who wait that this instance is there.
+        """Sends an empty frame to each instance with queued requests.
 
-        A frozen broker keeps its connections; without a sign of life an
-        instance could not tell a long queue from a broker that is gone.
+        The connections of a frozen broker stay open. Without heartbeats an
+        instance could not tell a long queue from an unresponsive broker.
         """
         waiting = {
             entry
             for hosted in self._hosted.values()
-            for entry in hosted.broker.waiting_entries()
+            for entry in hosted.broker.waiting_instances()
         }
         for entry in waiting:
             self._send(entry, _Outbox())
@@ -334,7 +338,7 @@
                 continue
             for decision in decisions:
                 outbox = outboxes.setdefault(decision.entry, _Outbox())
-                _put(decision.message, outbox)
+                _append(decision.message, outbox)
         for entry, outbox in outboxes.items():
             self._counters.incr("broker.grants", len(outbox.grants))
             self._counters.incr("broker.refusals", len(outbox.refusals))
@@ -353,7 +357,7 @@
             )
 
 
-def _put(message: Grant | Refusal | Revoke, outbox: _Outbox) -> None:
+def _append(message: Grant | Refusal | Revoke, outbox: _Outbox) -> None:
     match message:
         case Grant():
             outbox.grants.append(message)
--- a/src/jasminerelay/limits.py
+++ b/src/jasminerelay/limits.py
@@ -1,8 +1,8 @@
-"""Organisation limits that hold over all instances.
+"""Rate limits of organisations, enforced across all instances.
 
-The bucket of an organisation lives at one instance, its home, picked by
-rendezvous hashing. Other instances borrow tokens in batches, so that most
-requests are admitted without a message.
+The token bucket of an organisation is kept by one instance, its coordinator,
+which rendezvous hashing picks. The other instances borrow tokens in batches,
+so that most requests are admitted without a message.
 """
 
 import dataclasses
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limit:
-    """A limit of an organisation.
+    """Rate limit of an organisation.
 
     Attributes:
-        tokens_per_s: Refill in tokens a second; 0 is no limit.
-        burst: Tokens that may be used at once after a quiet time.
+        tokens_per_s: Refill rate in tokens per second; 0 means no limit.
+        burst: Capacity of the bucket in tokens.
     """
 
     tokens_per_s: float
@@ -25,22 +25,22 @@
 
     @classmethod
     def of(cls, tokens_per_s: float, burst_tokens: float) -> "Limit":
-        """Returns a limit with the default burst filled in."""
+        """Returns a limit; a burst of 0 is replaced by the default."""
         return cls(tokens_per_s, burst_tokens or tokens_per_s * DEFAULT_BURST_S)
 
 
 class Bucket:
-    """The token bucket at an organisation's home."""
+    """Token bucket of an organisation, kept by its coordinator."""
 
     def __init__(self, limit: Limit, now: float):
         self._limit = limit
         self._tokens = limit.burst
-        self._at = now
+        self._refilled_at = now
 
     def lend(self, wanted: float, now: float) -> float:
-        """Lends up to the wanted tokens; returns how many."""
-        elapsed = max(0.0, now - self._at)
-        self._at = now
+        """Takes up to the wanted tokens; returns how many were taken."""
+        elapsed = max(0.0, now - self._refilled_at)
+        self._refilled_at = now
         self._tokens = min(
             self._limit.burst,
             self._tokens + elapsed * self._limit.tokens_per_s,
@@ -50,13 +50,13 @@
         return lent
 
     def retry_s(self, wanted: float) -> float:
-        """Returns after how many seconds the wanted tokens are there."""
+        """Returns the seconds until the wanted tokens are available."""
         missing = min(wanted, self._limit.burst) - self._tokens
         return max(0.0, missing / self._limit.tokens_per_s)
 
 
 class Borrower:
-    """What one instance has borrowed for one organisation."""
+    """Balance of tokens that one instance has borrowed for an organisation."""
 
     def __init__(self, limit: Limit, instances: int):
         self._limit = limit
@@ -64,25 +64,26 @@
         self._balance = 0.0
 
     def take(self, tokens: float) -> bool:
-        """Takes tokens from the balance if they are there."""
+        """Takes tokens from the balance; returns False if it is too low."""
         if self._balance < tokens:
             return False
         self._balance -= tokens
         return True
 
     def settle(self, surplus: float) -> None:
-        """Corrects the balance when an answer's true length is known.
+        """Corrects the balance once the actual length of an answer is known.
 
         Args:
-            surplus: Tokens estimated but not used; negative if more were.
+            surplus: Tokens taken but not used; negative if more were used
+                than taken.
         """
         self._balance += surplus
 
     def wanted(self, tokens: float) -> float:
-        """Returns how much to borrow so that the tokens can be taken."""
+        """Returns how many tokens to borrow: the shortfall and a batch."""
         batch = self._limit.tokens_per_s * BATCH_S / self._instances
         return max(0.0, tokens - self._balance) + batch
 
     def lent(self, tokens: float) -> None:
-        """Takes a loan."""
+        """Adds borrowed tokens to the balance."""
         self._balance += tokens
--- a/src/jasminerelay/naive.py
+++ b/src/jasminerelay/naive.py
@@ -1,7 +1,8 @@
-"""The baseline: what a plain router does, plainly right and uncoordinated.
+"""Baseline for comparison: a simple router without coordination.
 
-A FIFO in each instance, and the backend server with the least reported load.
-It knows nothing of ranks, deadlines, organisations or other instances.
+Each instance has its own FIFO queue and sends to the backend server with the
+least reported load. Ranks, deadlines, organisations and other instances are
+ignored.
 """
 
 import collections
@@ -15,56 +16,58 @@
 
 
 class NaiveBroker:
-    """Has the methods of a Broker, for one instance alone."""
+    """Replaces `Broker` with a FIFO queue local to one instance."""
 
     def __init__(self, cell: Cell):
         self._queue: collections.deque[Waiting] = collections.deque()
-        self._own: dict[str, str] = {}
+        self._permits: dict[str, str] = {}
         self._reported: dict[str, int] = {}
-        self._since: collections.Counter[str] = collections.Counter()
+        self._granted_since_report: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._leaving: set[str] = set()
-        self._refused: list[Decision] = []
+        self._pending_refusals: list[Decision] = []
         self.update(cell)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def update(self, cell: Cell) -> None:
-        """Takes a new description of the cell."""
+        """Replaces the cell's definition."""
         self._cell = cell
 
     def ask(self, waiting: Waiting, now: float) -> None:
-        """Queues a request; refuses it if the queue is full."""
+        """Queues a request, or schedules its refusal if the queue is full."""
         del now
         if len(self._queue) >= self._cell.max_waiting:
             refusal = Refusal(waiting.ask_id, REFUSED_FULL, RETRY_S)
-            self._refused.append(Decision(waiting.entry, refusal))
+            self._pending_refusals.append(Decision(waiting.entry, refusal))
             return
         self._queue.append(waiting)
 
     def release(self, release: Release, now: float) -> None:
-        """Ends a permit or an ask."""
+        """Releases a permit, or withdraws a queued request."""
         del now
-        self._own.pop(release.ask_id, None)
+        self._permits.pop(release.ask_id, None)
         self._queue = collections.deque(
             item for item in self._queue if item.ask_id != release.ask_id
         )
 
     def report(self, server: str, report: LoadReport, now: float) -> None:
-        """Takes a load report; it lags."""
+        """Records a load report and restarts the count of newer grants."""
         del now
         self._reported[server] = report.running + report.waiting
-        self._since[server] = 0
+        self._granted_since_report[server] = 0
 
     def set_leaving(self, servers: set[str]) -> None:
-        """Takes which backend servers are leaving; they get no new work."""
+        """Sets the leaving backend servers, which get no new requests."""
         self._leaving = servers
 
     def step(self, now: float) -> list[Decision]:
-        """Returns the decisions that are due."""
-        decisions, self._refused = self._refused, []
+        """Refuses expired requests, grants free slots; returns decisions."""
+        decisions, self._pending_refusals = self._pending_refusals, []
         while self._queue:
             head = self._queue[0]
             if head.expires <= now:
@@ -76,8 +79,8 @@
             if server is None:
                 break
             self._queue.popleft()
-            self._own[head.ask_id] = server
-            self._since[server] += 1
+            self._permits[head.ask_id] = server
+            self._granted_since_report[server] += 1
             grant = Grant(head.ask_id, self._cell.name, server)
             decisions.append(Decision(head.entry, grant))
         return decisions
@@ -85,7 +88,7 @@
     def _least_loaded(self, waiting: Waiting) -> str | None:
         loads = {
             server.name: self._reported.get(server.name, 0)
-            + self._since[server.name]
+            + self._granted_since_report[server.name]
             for server in self._cell.servers
             if server.name not in self._leaving
             and server.name not in waiting.avoid
--- a/src/jasminerelay/ordering.py
+++ b/src/jasminerelay/ordering.py
@@ -1,9 +1,9 @@
-"""The order in which waiting requests get permits.
+"""Scheduling order of the requests queued for permits.
 
-Tiers go by rank. Within a tier, organisations share by the tokens that they
-used, divided by their weight (a virtual token counter), so that a burst of
-one does not starve the rest. Within an organisation, the earliest deadline
-goes first.
+Tiers are ordered by rank. Within a tier, organisations share fairly by the
+tokens that they have used, divided by their weight (a virtual token counter),
+so that a burst of one does not starve the others. Within an organisation, the
+earliest deadline goes first.
 """
 
 import dataclasses
@@ -16,26 +16,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Waiting:
-    """A request that waits for a permit.
+    """A request queued for a permit.
 
     Attributes:
-        ask_id: Identity of the ask, unique over all instances.
-        entry: Instance that asked.
-        rank: Rank of its class; 1 is the highest.
-        organisation: Who sent it.
-        weight: Share of the organisation within its tier.
-        work: Estimated tokens.
-        arrived: Time of arrival in seconds, moved back by earlier tries.
-        deadline: Time at which it should have its first token.
-        expires: Time at which it gets its final answer.
-        protected: Never shed for a lower rank.
-        started: Part of its answer is delivered; never shed at all.
-        preemptible: Its permit may be taken back for a higher rank.
-        floor_share: Share of grants of its tier, whatever waits above.
-        leave_free: Share of the slots that it leaves free for higher ranks.
+        ask_id: ID of the permit request, unique over all instances.
+        entry: Instance that requested the permit.
+        rank: Rank of its service class; 1 is the highest.
+        organisation: Organisation that sent the request.
+        weight: Fair-share weight of the organisation within its tier.
+        work: Estimated tokens of the answer.
+        arrived: Arrival time in seconds, moved back by the time that the
+            request waited in earlier attempts.
+        deadline: Time by which the class's latency target is due.
+        expires: Time at which the request is refused if still queued.
+        protected: Whether it is never shed for an unprotected request.
+        started: Whether part of its answer is delivered; if so, the request
+            is never shed.
+        preemptible: Whether its permit may be revoked for a higher rank.
+        floor_share: Share of grants guaranteed to its tier, whatever is
+            queued in higher tiers.
+        leave_free: Share of the slots to keep free for higher ranks.
         prefixes: Hashes of the prompt's leading blocks.
-        avoid: Backend servers that just failed it.
-        resume_on: Backend server that holds its broken stream, or "".
+        avoid: Backend servers on which the request has just failed.
+        resume_on: Backend server whose prefix cache holds its partial
+            answer, or "".
     """
 
     ask_id: str
@@ -57,10 +61,10 @@
     resume_on: str = ""
 
 
-def waiting_of(ask: Ask, entry: str, now: float) -> Waiting:
-    """Returns an ask as a broker queues it; ages become times here.
+def queued_request(ask: Ask, entry: str, now: float) -> Waiting:
+    """Converts a permit request to a queue entry with absolute times.
 
-    The ask carries durations, since the clocks of instances differ.
+    The message carries durations, since the clocks of instances differ.
     """
     arrived = now - ask.wait_s
     return Waiting(
@@ -85,12 +89,12 @@
 
 
 class Tier:
-    """The waiting requests of one rank."""
+    """The queued requests of one rank, shared fairly among organisations."""
 
     def __init__(self) -> None:
         self._queues: dict[str, SortedKeyList] = {}
-        self._used: dict[str, float] = {}
-        self._level = 0.0
+        self._normalized_usage: dict[str, float] = {}
+        self._virtual_time = 0.0
         self._size = 0
 
     def __len__(self) -> int:
@@ -109,35 +113,43 @@
                 key=lambda item: (item.deadline, item.arrived, item.ask_id)
             )
             self._queues[name] = queue
-            # An organisation that was idle starts at the level of the
-            # others; else it could save up its share and then starve them.
-            self._used[name] = max(self._used.get(name, 0.0), self._level)
+            # An organisation that was idle starts at the tier's virtual
+            # time; otherwise it could save up its share and then starve the
+            # others.
+            self._normalized_usage[name] = max(
+                self._normalized_usage.get(name, 0.0), self._virtual_time
+            )
         queue.add(waiting)
         self._size += 1
 
     def remove(self, waiting: Waiting) -> None:
-        """Takes a request out."""
+        """Removes a request."""
         queue = self._queues[waiting.organisation]
         queue.remove(waiting)
         self._size -= 1
         if not queue:
             del self._queues[waiting.organisation]
 
-    def next(self) -> Waiting | None:
-        """Returns the request whose turn it is."""
+    def peek(self) -> Waiting | None:
+        """Returns the request to grant next, without removing it."""
         if not self._queues:
             return None
         name = min(
             self._queues,
-            key=lambda name: (self._used[name], len(self._queues[name]), name),
+            key=lambda name: (
+                self._normalized_usage[name],
+                len(self._queues[name]),
+                name,
+            ),
         )
         return self._queues[name][0]
 
-    def last(self) -> Waiting | None:
-        """Returns the request that is shed first.
+    def shed_candidate(self) -> Waiting | None:
+        """Returns the request to shed first.
 
-        It is the newest one of the organisation that waits with the most
-        requests for its weight, so that whoever causes the burst sheds first.
+        It is the one with the latest deadline of the organisation with the
+        most queued requests relative to its weight, so that the organisation
+        that causes a burst sheds first.
         """
         if not self._queues:
             return None
@@ -151,25 +163,31 @@
         return self._queues[name][-1]
 
     def charge(self, organisation: str, tokens: float, weight: float) -> None:
-        """Counts tokens against an organisation; corrections may be negative.
+        """Charges tokens to an organisation.
 
         Args:
-            organisation: Who used them.
-            tokens: Tokens, as estimated at the grant or corrected later.
-            weight: Share of the organisation.
+            organisation: Organisation that used the tokens.
+            tokens: Estimate at the grant, or a later correction, which may
+                be negative.
+            weight: Fair-share weight of the organisation.
         """
-        used = self._used.get(organisation, self._level) + tokens / weight
-        self._used[organisation] = used
-        waiting = [self._used[name] for name in self._queues]
-        self._level = max(self._level, min(waiting, default=used))
-        self._forget_idle()
-
-    def _forget_idle(self) -> None:
-        # Bounds the state: an idle organisation at or below the level has
-        # nothing to remember, since add() would lift it there anyway.
-        if len(self._used) > 2 * len(self._queues) + 64:
-            self._used = {
-                name: used
-                for name, used in self._used.items()
-                if name in self._queues or used > self._level
+        usage = (
+            self._normalized_usage.get(organisation, self._virtual_time)
+            + tokens / weight
+        )
+        self._normalized_usage[organisation] = usage
+        waiting = [self._normalized_usage[name] for name in self._queues]
+        self._virtual_time = max(
+            self._virtual_time, min(waiting, default=usage)
+        )
+        self._prune_idle()
+
+    def _prune_idle(self) -> None:
+        # Bounds the state: an idle organisation at or below the virtual time
+        # needs no record, since add() would raise it to that anyway.
+        if len(self._normalized_usage) > 2 * len(self._queues) + 64:
+            self._normalized_usage = {
+                name: usage
+                for name, usage in self._normalized_usage.items()
+                if name in self._queues or usage > self._virtual_time
             }
--- a/src/jasminerelay/permits.py
+++ b/src/jasminerelay/permits.py
@@ -14,7 +14,7 @@
 from jasminerelay.manifest import Cell, Directory
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.naive import NaiveBroker
-from jasminerelay.ordering import waiting_of
+from jasminerelay.ordering import queued_request
 from jasminerelay.schema.manifest import Organisation, Pool, Service
 from jasminerelay.schema.messages import (
     Ask,
@@ -345,7 +345,7 @@
             broker = self._new_local(cells.get(name, Cell(name, (), 1)), now)
             broker.set_leaving(self._leaving)
             self._local[name] = broker
-        broker.ask(waiting_of(pending.ask, self._own.instance, now), now)
+        broker.ask(queued_request(pending.ask, self._own.instance, now), now)
         self._step_local(name, now)
 
     def _new_local(self, cell: Cell, now: float) -> Broker | NaiveBroker:
--- a/src/jasminerelay/routing.py
+++ b/src/jasminerelay/routing.py
@@ -1,4 +1,4 @@
-"""Chooses the backend server for a permit."""
+"""Selects the backend server for a permit."""
 
 import dataclasses
 
@@ -6,10 +6,10 @@
 from jasminerelay.schema.manifest import Server
 
 PREFIX_WEIGHT = 0.5
-"""Worth of a fully cached prompt, in units of a full server's load.
+"""Value of a fully cached prompt, in units of a full server's load.
 
-A hit saves the prefill, which is at most about half of a short answer's
-time; a larger weight makes requests queue behind one warm server.
+A cache hit saves the prefill, which is at most about half of a short answer's
+time; a larger weight makes requests queue for one server with a warm cache.
 """
 
 STRAGGLER_WEIGHT = 1.0
@@ -17,14 +17,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """A backend server with what is known of it now.
+    """A backend server and its current load and cache state.
 
     Attributes:
-        server: Its description in the manifest.
-        granted: Permits out on it.
-        unexplained: Running work in its load report that no permit explains.
-        slowness: Step time relative to its peers.
-        matched: Leading blocks of the prompt that it probably holds.
+        server: Its entry in the manifest.
+        granted: Permits granted on it and not yet released.
+        unexplained: Requests in its load report that no permit accounts for.
+        slowness: Step time relative to the median of its peers.
+        matched: Leading blocks of the prompt that its prefix cache probably
+            holds.
     """
 
     server: Server
@@ -35,12 +36,16 @@
 
     @property
     def free(self) -> int:
-        """Slots that may still be granted."""
+        """Number of slots that may still be granted."""
         return self.server.slots - self.granted - self.unexplained
 
 
 def choose(waiting: Waiting, candidates: list[Candidate]) -> Candidate | None:
-    """Returns the best candidate with a free slot, or None."""
+    """Returns the best candidate with a free slot, or None.
+
+    The server that the request should resume on comes first; otherwise the
+    lowest score of load, prefix cache hits and slowness wins.
+    """
     usable = [
         item
         for item in candidates
@@ -58,6 +63,8 @@
 
 def _score(waiting: Waiting, item: Candidate) -> float:
     busy = 1 - item.free / item.server.slots
-    hit = item.matched / len(waiting.prefixes) if waiting.prefixes else 0.0
-    slow = max(0.0, item.slowness - 1.0)
-    return busy - PREFIX_WEIGHT * hit + STRAGGLER_WEIGHT * slow
+    hit_ratio = (
+        item.matched / len(waiting.prefixes) if waiting.prefixes else 0.0
+    )
+    excess_slowness = max(0.0, item.slowness - 1.0)
+    return busy - PREFIX_WEIGHT * hit_ratio + STRAGGLER_WEIGHT * excess_slowness
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -151,7 +151,7 @@
     Safeguard(
         "a full queue makes room for a higher rank",
         "broker",
-        "        victim = self._victim()\n",
+        "        victim = self._shed_candidate()\n",
         "        victim = None\n",
         "test_coordination.OverloadTest.test_protected_is_never_shed",
     ),
@@ -267,7 +267,7 @@
     Safeguard(
         "a new session forgets what the former one held",
         "brokers",
-        "            hosted.broker.forget_entry(entry, permits=True)\n"
+        "            hosted.broker.remove_instance(entry, permits=True)\n"
         "        self._sessions[entry] = send",
         "            pass\n        self._sessions[entry] = send",
         "test_permits.PermitsTest.test_new_session_forgets_lost_releases",
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker's decisions."""
+"""Tests of the broker's decisions."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 def granted(decisions) -> list[str]:
-    """Returns the granted asks in order."""
+    """Returns the IDs of granted requests in order."""
     return [
         item.message.ask_id
         for item in decisions
@@ -31,7 +31,7 @@
 
 
 def refused(decisions) -> dict[str, str]:
-    """Returns the refused asks with their reasons."""
+    """Returns the refusal reason by ID of refused requests."""
     return {
         item.message.ask_id: item.message.reason
         for item in decisions
@@ -40,7 +40,7 @@
 
 
 def revoked(decisions) -> list[str]:
-    """Returns the permits taken back."""
+    """Returns the IDs of revoked permits."""
     return [
         item.message.ask_id
         for item in decisions
@@ -49,7 +49,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Who goes next."""
+    """Order of grants."""
 
     def test_rank_then_deadline(self) -> None:
         broker = Broker(cell(server("s", slots=1)))
@@ -85,8 +85,8 @@
         self.assertEqual(order.count("b"), 10)
 
     def test_burst_of_one_organisation(self) -> None:
-        # One organisation has a long queue; another's single request is
-        # next all the same.
+        # A long queue of one organisation must not delay another
+        # organisation's single request.
         broker = Broker(cell(server("s", slots=1)))
         for number in range(20):
             broker.ask(waiting(f"burst{number}", organisation="big"), 0.0)
@@ -96,7 +96,8 @@
         self.assertEqual(granted(broker.step(0.0)), ["small"])
 
     def test_floor_bounds_the_lowest_tier(self) -> None:
-        # Higher requests never end; the lowest gets one grant in 1 / share.
+        # Higher ranks always have requests queued; the lowest must still get
+        # one grant in 1 / share.
         broker = Broker(cell(server("s", slots=1), max_waiting=10_000))
         for number in range(500):
             broker.ask(waiting(f"high{number}", rank=1), 0.0)
@@ -107,9 +108,11 @@
             (ask_id,) = granted(broker.step(0.0))
             order.append(ask_id)
             broker.release(release(ask_id), 0.0)
-        places = [i for i, name in enumerate(order) if name.startswith("low")]
-        gaps = [b - a for a, b in zip(places, places[1:], strict=False)]
-        self.assertLessEqual(max([places[0], *gaps]), 23)
+        positions = [
+            i for i, name in enumerate(order) if name.startswith("low")
+        ]
+        gaps = [b - a for a, b in zip(positions, positions[1:], strict=False)]
+        self.assertLessEqual(max([positions[0], *gaps]), 23)
         self.assertGreaterEqual(min(gaps), 18)
 
     def test_leaves_slots_free(self) -> None:
@@ -122,7 +125,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Who is shed, and when."""
+    """Shedding and refusals."""
 
     def test_sheds_the_lowest_tier(self) -> None:
         broker = Broker(cell(server("s", slots=1), max_waiting=2))
@@ -142,7 +145,7 @@
         broker.ask(waiting("low", rank=2), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"low": REFUSED_FULL})
 
-    def test_guaranteed_room_of_the_lowest(self) -> None:
+    def test_guaranteed_queue_length_of_lowest_tier(self) -> None:
         broker = Broker(cell(server("s", slots=1), max_waiting=2))
         broker.ask(waiting("running"), 0.0)
         broker.step(0.0)
@@ -152,8 +155,8 @@
         broker.ask(waiting("more", rank=5, floor_share=0.05), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"more": REFUSED_FULL})
 
-    def test_older_takes_the_place_of_a_younger(self) -> None:
-        # A refused request comes back with its ticket and so with its age.
+    def test_older_request_replaces_younger(self) -> None:
+        # A refused request returns with its ticket, which carries its age.
         broker = Broker(cell(server("s", slots=1), max_waiting=1))
         broker.ask(waiting("running"), 9.0)
         broker.step(9.0)
@@ -170,7 +173,7 @@
         broker.ask(waiting("more", rank=1), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"more": REFUSED_FULL})
 
-    def test_expired_gets_its_answer_at_once(self) -> None:
+    def test_expired_is_refused_at_once(self) -> None:
         broker = Broker(cell(server("s", slots=1)))
         broker.ask(waiting("running"), 0.0)
         broker.step(0.0)
@@ -179,7 +182,7 @@
         self.assertEqual(broker.next_expiry(), 2.0)
         self.assertEqual(refused(broker.step(2.0)), {"late": REFUSED_LATE})
 
-    def test_no_server_left(self) -> None:
+    def test_refused_without_usable_server(self) -> None:
         broker = Broker(cell(server("s")))
         broker.set_leaving({"s"})
         broker.ask(waiting("a"), 0.0)
@@ -187,7 +190,7 @@
 
 
 class PreemptionTest(unittest.TestCase):
-    """Which permits are taken back."""
+    """Choice of permits to revoke."""
 
     def setUp(self) -> None:
         self.broker = Broker(cell(server("s", slots=2)))
@@ -195,22 +198,22 @@
         self.broker.ask(waiting("free", rank=5, preemptible=True), 0.0)
         self.broker.step(0.0)
 
-    def test_takes_back_the_preemptible(self) -> None:
+    def test_revokes_preemptible_permit(self) -> None:
         self.broker.ask(waiting("high", rank=1), 1.0)
         self.assertEqual(revoked(self.broker.step(1.0)), ["free"])
-        # Once is enough, until it is given back.
+        # The permit is revoked once, not again at each step.
         self.assertEqual(revoked(self.broker.step(1.1)), [])
         self.broker.release(release("free"), 1.2)
         self.assertEqual(granted(self.broker.step(1.2)), ["high"])
 
-    def test_not_for_its_own_rank_or_below(self) -> None:
+    def test_no_revocation_for_same_or_lower_rank(self) -> None:
         self.broker.ask(waiting("same", rank=5), 1.0)
         self.broker.ask(waiting("below", rank=6), 1.0)
         self.assertEqual(revoked(self.broker.step(1.0)), [])
 
 
 class SoftStateTest(unittest.TestCase):
-    """What others tell a broker."""
+    """State from instances and load reports."""
 
     def test_held_permits_take_slots(self) -> None:
         broker = Broker(cell(server("s", slots=2)))
@@ -218,17 +221,17 @@
         for name in ("a", "b"):
             broker.ask(waiting(name), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["a"])
-        broker.forget_entry("other", permits=True)
+        broker.remove_instance("other", permits=True)
         self.assertEqual(granted(broker.step(0.0)), ["b"])
 
-    def test_unexplained_load_takes_slots(self) -> None:
+    def test_unattributed_load_takes_slots(self) -> None:
         broker = Broker(cell(server("s", slots=3)))
         broker.report("s", LoadReport(2, 0, False, 0.01, 0.0), 0.0)
         for name in ("a", "b"):
             broker.ask(waiting(name), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["a"])
 
-    def test_own_permits_explain_load(self) -> None:
+    def test_own_permits_account_for_load(self) -> None:
         broker = Broker(cell(server("s", slots=3)))
         for name in ("a", "b"):
             broker.ask(waiting(name), 0.0)
@@ -237,7 +240,7 @@
         broker.ask(waiting("c"), 5.0)
         self.assertEqual(granted(broker.step(5.0)), ["c"])
 
-    def test_asking_twice_grants_once(self) -> None:
+    def test_repeated_request_is_granted_once(self) -> None:
         broker = Broker(cell(server("s", slots=3)))
         broker.ask(waiting("a"), 0.0)
         first = broker.step(0.0)
@@ -251,14 +254,14 @@
         for name in ("a", "b", "c"):
             broker.ask(waiting(name), 0.0)
         self.assertEqual(len(granted(broker.step(0.0))), 1)
-        # After its rest it gets one request, not all of them.
+        # After its backoff the server gets one request as a probe.
         self.assertEqual(len(granted(broker.step(1.1))), 1)
         self.assertEqual(len(granted(broker.step(1.2))), 0)
 
-    def test_local_share_ignores_others_load(self) -> None:
-        # An instance that has lost its broker grants from its own share; the
-        # others' running work must not take that away (it did once, and a
-        # share of one slot then granted nothing).
+    def test_local_share_ignores_load_of_other_instances(self) -> None:
+        # An instance that cannot reach the broker grants from its own share
+        # of the slots. When other instances' requests counted against it, a
+        # share of one slot granted nothing.
         broker = Broker(cell(server("s", slots=4)), share=0.25)
         broker.report("s", LoadReport(3, 0, False, 0.01, 0.0), 0.0)
         broker.ask(waiting("a"), 0.0)
@@ -266,21 +269,21 @@
 
 
 class BrokerMachine(RuleBasedStateMachine):
-    """Random asks, ends, reports and time, against plain bookkeeping."""
+    """Random requests, releases and delays, checked against a simple model."""
 
     @initialize(
         slots=strategies.lists(
             strategies.integers(1, 4), min_size=1, max_size=4
         ),
-        room=strategies.integers(1, 12),
+        queue_limit=strategies.integers(1, 12),
     )
-    def start(self, slots: list[int], room: int) -> None:
+    def start(self, slots: list[int], queue_limit: int) -> None:
         names = [f"s{number}" for number in range(len(slots))]
         self.slots = dict(zip(names, slots, strict=True))
         self.broker = Broker(
             cell(
                 *(server(name, count) for name, count in self.slots.items()),
-                max_waiting=room,
+                max_waiting=queue_limit,
             )
         )
         self.now = 0.0
@@ -291,9 +294,9 @@
     @rule(
         rank=strategies.integers(1, 5),
         organisation=strategies.sampled_from("abc"),
-        patience=strategies.floats(0.0, 5.0),
+        max_wait_s=strategies.floats(0.0, 5.0),
     )
-    def ask(self, rank: int, organisation: str, patience: float) -> None:
+    def ask(self, rank: int, organisation: str, max_wait_s: float) -> None:
         self.count += 1
         item = waiting(
             f"{self.count:06d}",
@@ -301,7 +304,7 @@
             organisation=organisation,
             arrived=self.now,
             deadline=self.now + 1,
-            expires=self.now + patience,
+            expires=self.now + max_wait_s,
             protected=rank == 1,
             floor_share=0.1 if rank == 5 else 0.0,
             leave_free=0.1 if rank > 2 else 0.0,
@@ -344,7 +347,7 @@
                 assert message.ask_id in self.held
 
     @invariant()
-    def never_more_than_the_slots(self) -> None:
+    def permits_never_exceed_slots(self) -> None:
         if not hasattr(self, "broker"):
             return
         for name, slots in self.slots.items():
@@ -355,7 +358,7 @@
 
 
 class BrokerMachineTest(BrokerMachine.TestCase):
-    """Runs the machine."""
+    """Runs the state machine."""
 
     settings = settings(
         max_examples=60,
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -1,4 +1,4 @@
-"""Order within a tier, against a version that is plainly right."""
+"""Order within a tier, checked against a simple reference."""
 
 import unittest
 
@@ -8,21 +8,21 @@
 from tests.fakes import waiting
 
 
-class _PlainTier:
-    """Looks at everything each time; no indexes, no levels to keep."""
+class _ReferenceTier:
+    """Reference implementation that scans all requests at every call."""
 
     def __init__(self) -> None:
         self.items = []
-        self.used: dict[str, float] = {}
+        self.usage: dict[str, float] = {}
         self.level = 0.0
 
     def add(self, item) -> None:
         name = item.organisation
         if not any(other.organisation == name for other in self.items):
-            self.used[name] = max(self.used.get(name, 0.0), self.level)
+            self.usage[name] = max(self.usage.get(name, 0.0), self.level)
         self.items.append(item)
 
-    def next(self):
+    def peek(self):
         counts = {
             item.organisation: sum(
                 other.organisation == item.organisation for other in self.items
@@ -32,7 +32,7 @@
         return min(
             self.items,
             key=lambda item: (
-                self.used[item.organisation],
+                self.usage[item.organisation],
                 counts[item.organisation],
                 item.organisation,
                 item.deadline,
@@ -43,13 +43,13 @@
         )
 
     def charge(self, name: str, tokens: float, weight: float) -> None:
-        self.used[name] = self.used.get(name, self.level) + tokens / weight
-        active = [self.used[item.organisation] for item in self.items]
-        self.level = max(self.level, min(active, default=self.used[name]))
+        self.usage[name] = self.usage.get(name, self.level) + tokens / weight
+        active = [self.usage[item.organisation] for item in self.items]
+        self.level = max(self.level, min(active, default=self.usage[name]))
 
 
 class TierTest(unittest.TestCase):
-    """The tier and the plain one take the same turns."""
+    """Tests of fair sharing and shedding within a tier."""
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(
@@ -63,50 +63,50 @@
             max_size=60,
         )
     )
-    def test_same_turns(self, steps) -> None:
-        tier, plain = Tier(), _PlainTier()
+    def test_same_order(self, steps) -> None:
+        tier, reference = Tier(), _ReferenceTier()
         for number, (name, tokens, deadline, take) in enumerate(steps):
             item = waiting(
                 f"{number:03d}", organisation=name, deadline=float(deadline)
             )
             tier.add(item)
-            plain.add(item)
+            reference.add(item)
             if not take:
                 continue
-            chosen = tier.next()
-            self.assertEqual(chosen, plain.next())
+            chosen = tier.peek()
+            self.assertEqual(chosen, reference.peek())
             tier.remove(chosen)
-            plain.items.remove(chosen)
+            reference.items.remove(chosen)
             tier.charge(chosen.organisation, float(tokens), 1.0)
-            plain.charge(chosen.organisation, float(tokens), 1.0)
-            self.assertEqual(len(tier), len(plain.items))
+            reference.charge(chosen.organisation, float(tokens), 1.0)
+            self.assertEqual(len(tier), len(reference.items))
 
-    def test_idle_organisation_saves_nothing_up(self) -> None:
+    def test_idle_organisation_saves_no_credit(self) -> None:
         tier = Tier()
         tier.add(waiting("0", organisation="busy"))
         tier.charge("busy", 1000.0, 1.0)
         tier.add(waiting("1", organisation="idle"))
         tier.charge("idle", 1.0, 1.0)
-        self.assertEqual(tier.next().organisation, "busy")
+        self.assertEqual(tier.peek().organisation, "busy")
 
     def test_state_is_bounded(self) -> None:
-        # Each of many organisations comes once; the tier forgets them.
+        # Organisations that sent one request each must not stay in memory.
         tier = Tier()
         for number in range(5000):
             item = waiting("x", organisation=f"org{number}")
             tier.add(item)
             tier.remove(item)
             tier.charge(item.organisation, 1.0, 1.0)
-        self.assertLess(len(tier._used), 100)
+        self.assertLess(len(tier._normalized_usage), 100)
 
-    def test_sheds_from_whoever_bursts(self) -> None:
+    def test_sheds_from_organisation_with_burst(self) -> None:
         tier = Tier()
         for number in range(3):
             tier.add(
                 waiting(str(number), organisation="big", deadline=float(number))
             )
         tier.add(waiting("small", organisation="small", deadline=99.0))
-        self.assertEqual(tier.last().ask_id, "2")
+        self.assertEqual(tier.shed_candidate().ask_id, "2")
 
 
 if __name__ == "__main__":
