--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -110,7 +110,9 @@
 
     async def _admit(self) -> None:
         work = self._work()
-        loan = await self._kit.desk.borrow(self._placement.organisation, work)
+        loan = await self._kit.desk.take_tokens(
+            self._placement.organisation, work
+        )
         if loan is not None:
             raise LimitError(
                 f"organisation {self._placement.organisation.name!r} has"
@@ -377,7 +379,7 @@
         cls = self._placement.service_class
         prefixes = block_hashes(self._request.prompt)
         organisation = self._placement.organisation
-        cell = self._kit.desk.cell_for(
+        cell = self._kit.desk.choose_cell(
             self._placement.pool, organisation.name, prefixes
         )
         waited = time.monotonic() - self._arrived
--- a/src/jasminerelay/claimdesk.py
+++ b/src/jasminerelay/claimdesk.py
@@ -1,7 +1,7 @@
-"""Writes claims and outcomes to the table service in groups.
+"""Writes claims and outcomes to the table service in batches.
 
-One commit carries every write that came in while the one before it was under
-way, so the store's writes a second bound the commits and not the claims.
+Writes that arrive while a commit is in flight go into the next one. The store's
+rate of commits therefore does not limit the rate of claims.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 
 _log = logging.getLogger(__name__)
 
-MAX_GROUP = 64
+MAX_BATCH = 64
 MAX_QUEUED = 10_000
 RETRY_PAUSE_S = 0.1
 MAX_RETRY_PAUSE_S = 5.0
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Won:
-    """The claim is this instance's; it dispatches once.
+    """A claim acquired by this instance, which may dispatch the call once.
 
     Attributes:
         key: Key of the claim row.
-        version: Version of the row.
-        claim: Its content.
+        version: Version of the claim row.
+        claim: Content of the claim row.
     """
 
     key: str
@@ -43,12 +43,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Recorded:
-    """The call has run before; its recorded answer stands.
+class RecordedAnswer:
+    """The recorded answer of a call that has already run.
 
     Attributes:
-        claim: Row with the answer.
-        body: The answer, whole.
+        claim: Claim row with status and content type of the answer.
+        body: Complete body of the answer.
     """
 
     claim: Claim
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass
-class _Queued:
+class _QueuedWrite:
     write: Write
     done: anyio.Event
     written: Written | None = None
@@ -64,7 +64,7 @@
 
 
 class ClaimDesk:
-    """Owns the queue of claim writes of one instance."""
+    """Acquires claims and records outcomes for one instance."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         self._counters = counters
         self._settle_s = settle_s
         self._max_inline = max_inline
-        self._queue: list[_Queued] = []
+        self._queue: list[_QueuedWrite] = []
         self._wake = anyio.Event()
         self._background: TaskGroup | None = None
         self.unrecorded = 0
@@ -92,37 +92,38 @@
                 await self._wake.wait()
                 self._wake = anyio.Event()
                 while self._queue:
-                    batch = self._queue[:MAX_GROUP]
-                    del self._queue[:MAX_GROUP]
+                    batch = self._queue[:MAX_BATCH]
+                    del self._queue[:MAX_BATCH]
                     await self._commit(batch)
 
     async def claim(
-        self, key: str, digest: str, longest_s: float
-    ) -> Won | Recorded:
-        """Claims a call, or returns its recorded answer.
+        self, key: str, digest: str, max_call_s: float
+    ) -> Won | RecordedAnswer:
+        """Acquires the claim of a call, or returns the recorded answer.
 
         Args:
             key: Key of the claim row.
             digest: Digest of the request.
-            longest_s: Longest time that the call takes.
+            max_call_s: Longest duration of the call in seconds.
 
         Raises:
-            ConflictError: if another request has it, or none can tell.
-            KeyReusedError: if the key stands for another request.
-            StoreError: if the claim is not acknowledged in time. The call is
-                then not dispatched by this request; whether an earlier
-                request with the same key ran cannot be told.
+            ConflictError: if another request holds the claim, or whether the
+                call ran is unknown.
+            KeyReusedError: if the key was used for another request.
+            StoreError: if the claim is not acknowledged in time. This request
+                does not dispatch the call then; whether an earlier request
+                with the same key ran is unknown.
         """
         claim = Claim(digest, secrets.token_hex(16), at=time.time())
         try:
             with anyio.fail_after(self._settle_s):
-                return await self._settle(key, claim, longest_s)
+                return await self._acquire(key, claim, max_call_s)
         except TimeoutError:
             self._counters.incr("claim.unsettled")
-            # The insert may still take effect. Left alone, the row would
-            # stay open for ever although nothing runs, and every repeat
-            # would be told to wait; so it is reopened once the store is back.
-            self._later(self._abandon, key, claim)
+            # The insert may still take effect. The row would then stay open
+            # for ever although no call runs, and every repeat would get a
+            # conflict. It is closed as not run once the store responds.
+            self._run_in_background(self._close_unacknowledged, key, claim)
             raise StoreError(
                 "the claim of this call was not acknowledged; this request"
                 " was not sent to the service, but whether an earlier one"
@@ -132,41 +133,47 @@
             ) from None
 
     async def finish(
-        self, won: Won, status: int, content_type: str, body: bytes
+        self,
+        acquired: Won,
+        status: int,
+        content_type: str,
+        body: bytes,
     ) -> None:
-        """Records the outcome; keeps trying in the background."""
+        """Records the answer of a call, with retries in the background."""
         text = ""
         object_key = ""
-        if len(body) <= self._max_inline and _is_text(body):
+        if len(body) <= self._max_inline and _is_utf8(body):
             text = body.decode()
         else:
-            object_key = f"outcomes/{won.key.removeprefix('claim/')}"
+            object_key = f"outcomes/{acquired.key.removeprefix('claim/')}"
         claim = dataclasses.replace(
-            won.claim,
+            acquired.claim,
             state=claims.DONE,
             status=status,
             content_type=content_type,
             body=text,
             object_key=object_key,
         )
-        self._later(self._record, won, claim, body if object_key else b"")
+        self._run_in_background(
+            self._record, acquired, claim, body if object_key else b""
+        )
 
-    async def reopen(self, won: Won, state: str) -> None:
-        """Records that the call did not run, or that none can tell."""
-        claim = dataclasses.replace(won.claim, state=state)
-        self._later(self._record, won, claim, b"")
+    async def close_without_answer(self, acquired: Won, state: str) -> None:
+        """Closes a claim as `claims.NOT_RUN` or `claims.UNKNOWN`."""
+        claim = dataclasses.replace(acquired.claim, state=state)
+        self._run_in_background(self._record, acquired, claim, b"")
 
-    async def _settle(
-        self, key: str, claim: Claim, longest_s: float
-    ) -> Won | Recorded:
+    async def _acquire(
+        self, key: str, claim: Claim, max_call_s: float
+    ) -> Won | RecordedAnswer:
         expect = ABSENT
         while True:
             try:
                 written = await self._write(Write(key, expect, claim))
             except StoreError:
-                # The acknowledgement may be lost after the effect. Writing
-                # the same again is harmless: if it took effect, the row in
-                # the way carries this claim's own token.
+                # The write may have taken effect and only the
+                # acknowledgement been lost. Writing again is safe: the
+                # existing row then carries this claim's own token.
                 self._counters.incr("claim.retry")
                 await anyio.sleep(RETRY_PAUSE_S)
                 continue
@@ -182,12 +189,12 @@
             if held.state == claims.NOT_RUN and held.digest == claim.digest:
                 expect = row.version
                 continue
-            claims.check_repeat(held, claim.digest, time.time(), longest_s)
-            return await self._recorded(held)
+            claims.check_replayable(held, claim.digest, time.time(), max_call_s)
+            return await self._recorded_answer(held)
 
-    async def _recorded(self, held: Claim) -> Recorded:
+    async def _recorded_answer(self, held: Claim) -> RecordedAnswer:
         if not held.object_key:
-            return Recorded(held, held.body.encode())
+            return RecordedAnswer(held, held.body.encode())
         body = await self._objects.get(held.object_key)
         if body is None:
             raise StoreError(
@@ -195,42 +202,48 @@
                 ran="yes",
                 retry_s=1.0,
             )
-        return Recorded(held, body)
+        return RecordedAnswer(held, body)
 
-    async def _record(self, won: Won, claim: Claim, body: bytes) -> None:
+    async def _record(self, acquired: Won, claim: Claim, body: bytes) -> None:
         self.unrecorded += 1
         try:
             if body:
-                await self._persist(
+                await self._retry_until_stored(
                     lambda: self._objects.put(claim.object_key, body)
                 )
-            await self._persist(
-                lambda: self._write(Write(won.key, won.version, claim))
+            await self._retry_until_stored(
+                lambda: self._write(
+                    Write(acquired.key, acquired.version, claim)
+                )
             )
         finally:
             self.unrecorded -= 1
 
-    async def _abandon(self, key: str, claim: Claim) -> None:
+    async def _close_unacknowledged(self, key: str, claim: Claim) -> None:
         self.unrecorded += 1
         try:
-            row = await self._persist(lambda: self._occupant(key, claim))
+            row = await self._retry_until_stored(
+                lambda: self._insert_not_run(key, claim)
+            )
             held = msgspec.convert(row.value, Claim)
             if held.token == claim.token and held.state == claims.OPEN:
                 closed = dataclasses.replace(claim, state=claims.NOT_RUN)
                 write = Write(key, row.version, closed)
-                await self._persist(lambda: self._write(write))
+                await self._retry_until_stored(lambda: self._write(write))
         finally:
             self.unrecorded -= 1
 
-    async def _occupant(self, key: str, claim: Claim) -> Row:
-        """Inserts the claim as not run, or returns the row in the way."""
+    async def _insert_not_run(self, key: str, claim: Claim) -> Row:
+        """Inserts the claim as not run; returns that or the existing row."""
         closed = dataclasses.replace(claim, state=claims.NOT_RUN)
         written = await self._write(Write(key, ABSENT, closed))
         if written.row is None:
-            raise StoreError("no row after an insert")
+            raise StoreError(
+                "the table service returned no row after an insert"
+            )
         return written.row
 
-    async def _persist(self, action):
+    async def _retry_until_stored(self, action):
         pause = RETRY_PAUSE_S
         while True:
             try:
@@ -242,16 +255,18 @@
 
     async def _write(self, write: Write) -> Written:
         if len(self._queue) >= MAX_QUEUED:
-            raise StoreError("too many writes wait for the table service")
-        queued = _Queued(write, anyio.Event())
+            raise StoreError("too many writes are queued for the table service")
+        queued = _QueuedWrite(write, anyio.Event())
         self._queue.append(queued)
         self._wake.set()
         await queued.done.wait()
         if queued.written is None:
-            raise queued.error or StoreError("the write was dropped")
+            raise queued.error or StoreError(
+                "the write was dropped before its commit"
+            )
         return queued.written
 
-    async def _commit(self, batch: list[_Queued]) -> None:
+    async def _commit(self, batch: list[_QueuedWrite]) -> None:
         self._counters.incr("claim.commits")
         self._counters.incr("claim.writes", len(batch))
         try:
@@ -266,13 +281,13 @@
             for item in batch:
                 item.done.set()
 
-    def _later(self, action, *args) -> None:
+    def _run_in_background(self, action, *args) -> None:
         if self._background is None:
-            raise StoreError("the claim desk is not running")
+            raise StoreError("the claim writer is not running")
         self._background.start_soon(action, *args)
 
 
-def _is_text(body: bytes) -> bool:
+def _is_utf8(body: bytes) -> bool:
     try:
         body.decode()
     except UnicodeDecodeError:
--- a/src/jasminerelay/claims.py
+++ b/src/jasminerelay/claims.py
@@ -1,9 +1,9 @@
-"""What a table row says about a call that runs at most once.
+"""Claim rows of calls that run at most once.
 
-The row is inserted, on the condition that there is none, after the permit
-and right before the dispatch; whoever inserts it dispatches once. A claim is
-never a lease: nothing about it ends with time while its outcome is open, so
-a paused owner has nothing to lose.
+The row is inserted, on condition that none exists, after the permit is granted
+and right before the call is dispatched. The instance that inserts it dispatches
+the call, once. Unlike a lease, a claim never expires while its outcome is open,
+so a paused owner cannot lose it.
 """
 
 import dataclasses
@@ -30,13 +30,13 @@
     """A claim row.
 
     Attributes:
-        digest: Digest of the request that the key stands for.
-        token: Random word of the owner; tells its own insert from others'.
-        state: open, done, not_run or unknown.
+        digest: Digest of the request that the idempotency key was used for.
+        token: Random token by which the owner recognises its own insert.
+        state: `OPEN`, `DONE`, `NOT_RUN` or `UNKNOWN`.
         status: HTTP status of the recorded answer.
         content_type: Media type of the recorded answer.
-        body: Recorded answer, unless it is in the object store.
-        object_key: Key of the recorded answer in the object store, or "".
+        body: Body of the recorded answer, unless in the object store.
+        object_key: Key of that body in the object store, or "".
         at: Unix time of the claim in seconds, for retention.
     """
 
@@ -53,37 +53,41 @@
 def row_key(organisation: str, service: str, idempotency_key: str) -> str:
     """Returns the key of a claim row.
 
-    The organisation is part of it, so no caller can reach the recorded
-    outcome of another organisation by guessing its key.
+    It includes the organisation, so no caller can read the recorded outcome
+    of another organisation by guessing its idempotency key.
     """
     parts = msgspec.json.encode([organisation, service, idempotency_key])
     return "claim/" + hashlib.sha256(parts).hexdigest()
 
 
 def request_digest(method: str, path: str, query: str, body: bytes) -> str:
-    """Returns the digest by which a repeat is known to be the same request."""
-    head = msgspec.json.encode([method, path, query])
-    return hashlib.sha256(head + b"\x00" + body).hexdigest()
+    """Returns a digest that identifies repeats of the same request."""
+    request_line = msgspec.json.encode([method, path, query])
+    return hashlib.sha256(request_line + b"\x00" + body).hexdigest()
 
 
-def check_repeat(row: Claim, digest: str, now: float, longest_s: float) -> None:
-    """Checks a repeat against the row in force; returns if it may replay.
+def check_replayable(
+    row: Claim, digest: str, now: float, max_call_s: float
+) -> None:
+    """Returns if the recorded answer may be replayed to a repeat.
 
     Args:
-        row: The row in force.
-        digest: Digest of the repeat.
+        row: The existing row.
+        digest: Digest of the repeated request.
         now: Unix time in seconds.
-        longest_s: Longest time that a call takes. An open row that is older
-            belongs to an instance that died; the age only words the answer,
-            it never lets the call run again.
+        max_call_s: Longest duration of a call in seconds. An older open row
+            belongs to an instance that has failed. The age selects only the
+            error message; it never lets the call run again.
 
     Raises:
-        KeyReusedError: if the row stands for another request.
+        KeyReusedError: if the row belongs to another request.
         ConflictError: if its outcome is open or unknown.
     """
     if row.digest != digest:
-        raise KeyReusedError("this Idempotency-Key stands for another request")
-    if row.state == OPEN and now - row.at <= longest_s:
+        raise KeyReusedError(
+            "this Idempotency-Key was used for another request"
+        )
+    if row.state == OPEN and now - row.at <= max_call_s:
         raise ConflictError(
             "a request with this key is in progress",
             ran=RAN_UNKNOWN,
--- a/src/jasminerelay/permits.py
+++ b/src/jasminerelay/permits.py
@@ -1,4 +1,4 @@
-"""Gets permits for the requests that arrive at this instance."""
+"""Acquires permits for the requests that arrive at this instance."""
 
 import dataclasses
 import time
@@ -39,28 +39,29 @@
 
 
 @dataclasses.dataclass
-class _Pending:
-    ask: Ask
+class _PendingRequest:
+    request: Ask
     started: float
     done: anyio.Event
-    owner: str = ""
-    sent_at: float = 0.0
+    broker_name: str = ""
+    requested_at: float = 0.0
     local: bool = False
     result: Grant | Refusal | None = None
 
 
 @dataclasses.dataclass
-class _Holding:
+class _HeldPermit:
     held: Held
-    owner: str
+    broker_name: str
     revoked: bool = False
 
 
 class PermitDesk:
-    """Owns the asks and permits of one instance.
+    """Acquires and holds the permits of one instance.
 
-    Asks the broker of each cell; if it stays silent, grants from this
-    instance's share of the slots, so that work keeps flowing.
+    Requests permits from the broker of each cell. If the broker is
+    unresponsive, grants permits locally from this instance's share of the
+    slots, so that requests are still served.
     """
 
     def __init__(
@@ -74,17 +75,18 @@
         timeout_s: float,
         coordination: str = COORDINATION_BROKER,
     ):
-        """Makes a desk.
+        """Initialises the permit client.
 
         Args:
             own: This instance.
             live: Returns the instances that may be brokers.
             directory: Returns the manifest in force.
-            send: Sends a frame to an instance.
+            send: Sends a frame to the broker at an instance.
             counters: Counts grants by source.
-            invariants: Takes violations of the local brokers.
-            timeout_s: Silence of a broker that makes it unreachable.
-            coordination: One of the values of the setting.
+            invariants: Reports invariant violations of the local brokers.
+            timeout_s: Seconds without a frame after which a broker counts as
+                unresponsive.
+            coordination: `COORDINATION_BROKER` or `COORDINATION_NAIVE`.
         """
         self._own = own
         self._live = live
@@ -94,61 +96,64 @@
         self._invariants = invariants
         self._timeout_s = timeout_s
         self._coordination = coordination
-        self._pending: dict[str, _Pending] = {}
-        self._holding: dict[str, _Holding] = {}
-        self._heard: dict[str, float] = {}
+        self._pending: dict[str, _PendingRequest] = {}
+        self._held_permits: dict[str, _HeldPermit] = {}
+        self._last_frame_at: dict[str, float] = {}
         self._wake = anyio.Event()
-        self._local: dict[str, Broker | NaiveBroker] = {}
+        self._local_brokers: dict[str, Broker | NaiveBroker] = {}
         self._leaving: set[str] = set()
-        self._names: list[str] = []
-        self._names_at = float("-inf")
-        self._owners: dict[str, str] = {}
+        self._live_names: list[str] = []
+        self._live_names_at = float("-inf")
+        self._broker_names: dict[str, str] = {}
         self._borrowers: dict[str, Borrower] = {}
-        self._shares: dict[str, Bucket] = {}
-        self._loans: dict[str, list[anyio.Event]] = {}
-        self._last_loan: dict[str, Loan] = {}
+        self._fallback_buckets: dict[str, Bucket] = {}
+        self._loan_events: dict[str, list[anyio.Event]] = {}
+        self._last_loans: dict[str, Loan] = {}
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a permit."""
+        """Number of requests that wait for a permit."""
         return len(self._pending)
 
     @property
     def held(self) -> int:
-        """Permits held."""
-        return len(self._holding)
+        """Number of permits held."""
+        return len(self._held_permits)
 
-    def cell_for(
+    def choose_cell(
         self, group: Pool | Service, organisation: str, prefixes: tuple
     ) -> Cell:
-        """Returns the cell to ask: of two candidates the less asked one.
+        """Returns the cell to use: the less busy of two candidates.
 
-        Both candidates depend only on the prompt's first block (or the
-        organisation), so that requests which share a prefix meet in the same
-        cells wherever they arrive.
+        The load compared is the number of permit requests pending at this
+        instance. Both candidates depend only on the prompt's first block (or
+        the organisation), so that requests with a common prefix use the same
+        cells whichever instance they arrive at.
         """
         directory = self._directory()
         cells = {cell.name: cell for cell in directory.cells_of(group)}
         usable = [name for name, cell in cells.items() if cell.servers]
         key = str(prefixes[0]) if prefixes else organisation
-        two = rendezvous.rank(key, usable or cells)[:2]
-        asked = {
-            name: sum(item.ask.cell == name for item in self._pending.values())
-            for name in two
+        candidates = rendezvous.rank(key, usable or cells)[:2]
+        pending_counts = {
+            name: sum(
+                item.request.cell == name for item in self._pending.values()
+            )
+            for name in candidates
         }
-        return cells[min(two, key=lambda name: asked[name])]
+        return cells[min(candidates, key=lambda name: pending_counts[name])]
 
     def cells_of(self, group: Pool | Service) -> list[Cell]:
         """Returns the cells of a pool or service."""
         return self._directory().cells_of(group)
 
-    async def acquire(self, ask: Ask) -> Grant | Refusal:
-        """Waits for a permit or a final refusal."""
-        pending = _Pending(ask, time.monotonic(), anyio.Event())
-        self._pending[ask.ask_id] = pending
+    async def acquire(self, request: Ask) -> Grant | Refusal:
+        """Requests a permit; waits for the grant or the refusal."""
+        pending = _PendingRequest(request, time.monotonic(), anyio.Event())
+        self._pending[request.ask_id] = pending
         self._wake.set()
         try:
-            self._route(pending, time.monotonic())
+            self._ensure_requested(pending, time.monotonic())
             await pending.done.wait()
         except BaseException:
             self._withdraw(pending)
@@ -156,37 +161,37 @@
         return pending.result
 
     def adopt(self, held: Held) -> None:
-        """Takes up a permit that another instance held for a stream."""
-        owner = self._owner(held.cell)
+        """Takes over a permit that another instance held for a stream."""
+        broker_name = self._broker_of(held.cell)
         self._wake.set()
-        self._holding[held.ask_id] = _Holding(held, owner)
-        self._send(owner, self._frame(held=[held]))
+        self._held_permits[held.ask_id] = _HeldPermit(held, broker_name)
+        self._send(broker_name, self._frame(held=[held]))
 
     def release(self, release: Release) -> None:
-        """Gives a permit back."""
-        holding = self._holding.pop(release.ask_id, None)
-        if holding is None:
+        """Releases a permit."""
+        permit = self._held_permits.pop(release.ask_id, None)
+        if permit is None:
             return
         now = time.monotonic()
-        local = self._local.get(release.cell)
+        local = self._local_brokers.get(release.cell)
         if local is not None:
             local.release(release, now)
-            self._step_local(release.cell, now)
-        if holding.owner:
-            self._send(holding.owner, self._frame(releases=[release]))
+            self._step_local_broker(release.cell, now)
+        if permit.broker_name:
+            self._send(permit.broker_name, self._frame(releases=[release]))
 
     def is_revoked(self, ask_id: str) -> bool:
-        """Returns whether a permit was taken back."""
-        holding = self._holding.get(ask_id)
-        return holding is not None and holding.revoked
+        """Returns whether a held permit was revoked."""
+        permit = self._held_permits.get(ask_id)
+        return permit is not None and permit.revoked
 
-    async def borrow(
+    async def take_tokens(
         self, organisation: Organisation, tokens: float
     ) -> Loan | None:
-        """Takes tokens from an organisation's limit.
+        """Takes tokens from an organisation's rate limit, borrowing if needed.
 
         Returns:
-            None if they were there, else the loan that fell short.
+            None on success, else the loan that was too small.
         """
         if not organisation.tokens_per_s:
             return None
@@ -197,19 +202,19 @@
         tokens = min(tokens, limit.burst)
         if borrower.take(tokens):
             return None
-        loan = await self._ask_loan(organisation, borrower.wanted(tokens))
+        loan = await self._request_loan(organisation, borrower.wanted(tokens))
         borrower.lent(loan.tokens)
         return None if borrower.take(tokens) else loan
 
     def settle(
         self, organisation: Organisation, estimated: float, used: float
     ) -> None:
-        """Gives back what `borrow` took and the answer did not use.
+        """Corrects the balance by the difference of estimated and used tokens.
 
         Args:
-            organisation: Who borrowed.
-            estimated: Tokens as they were asked of `borrow`.
-            used: Tokens that the answer had; 0 if it did not run.
+            organisation: Organisation whose tokens were taken.
+            estimated: Tokens that `take_tokens` was called with.
+            used: Tokens of the answer; 0 if the request did not run.
         """
         borrower = self._borrowers.get(organisation.name)
         if borrower is not None:
@@ -217,280 +222,304 @@
             borrower.settle(min(estimated, limit.burst) - used)
 
     def on_frame(self, peer: str, frame: BrokerFrame) -> None:
-        """Takes a frame of a broker."""
-        self._heard[peer] = time.monotonic()
+        """Handles a frame of a broker."""
+        self._last_frame_at[peer] = time.monotonic()
         for message in (
             *frame.grants,
             *frame.refusals,
             *frame.revokes,
             *frame.loans,
         ):
-            self._take(message, peer)
+            self._handle(message, peer)
 
     def on_link_up(self, peer: str) -> None:
-        """Tells a broker that is new or back what is held and asked there."""
+        """Reports held permits and pending requests to a connected broker."""
         held = [
-            item.held for item in self._holding.values() if item.owner == peer
+            item.held
+            for item in self._held_permits.values()
+            if item.broker_name == peer
         ]
         asks = [
-            self._renewed(item)
+            self._refreshed_request(item)
             for item in self._pending.values()
-            if item.owner == peer
+            if item.broker_name == peer
         ]
         if held or asks:
             self._send(peer, self._frame(held=held, asks=asks))
 
     def on_link_down(self, peer: str) -> None:
         """Marks a broker as unreachable."""
-        self._heard[peer] = float("-inf")
+        self._last_frame_at[peer] = float("-inf")
 
     def report(self, server: str, report: LoadReport, now: float) -> None:
-        """Takes a load report for the local brokers."""
-        for cell, broker in self._local.items():
+        """Passes a load report to the local brokers."""
+        for cell, broker in self._local_brokers.items():
             broker.report(server, report, now)
-            self._step_local(cell, now)
+            self._step_local_broker(cell, now)
 
     def manifest_changed(self) -> None:
-        """Takes over the cells and limits of a newer manifest."""
+        """Applies the cells and limits of a newer manifest."""
         self._borrowers.clear()
-        self._shares.clear()
+        self._fallback_buckets.clear()
         directory = self._directory()
-        for name, broker in self._local.items():
+        for name, broker in self._local_brokers.items():
             broker.update(directory.cells.get(name, Cell(name, (), 1)))
 
     def local_cells(self) -> list[str]:
-        """Returns the cells that are granted from the local share."""
-        return list(self._local)
+        """Returns the cells that have a local fallback broker."""
+        return list(self._local_brokers)
 
     def set_leaving(self, servers: set[str]) -> None:
-        """Takes the backend servers that notices say are leaving."""
+        """Sets the backend servers that are leaving, according to gossip."""
         self._leaving = servers
-        for broker in self._local.values():
+        for broker in self._local_brokers.values():
             broker.set_leaving(servers)
 
     async def run(self) -> None:
-        """Follows changes of brokers until cancelled."""
+        """Moves permits and requests to new brokers until cancelled."""
         while True:
-            if not self._pending and not self._holding:
+            if not self._pending and not self._held_permits:
                 self._wake = anyio.Event()
                 await self._wake.wait()
             await anyio.sleep(TICK_S)
             self._tick(time.monotonic())
 
     def _tick(self, now: float) -> None:
-        # A list of its own: where this instance is the new broker itself, it
-        # answers within the call and grants what waits, so the table changes.
-        for holding in list(self._holding.values()):
-            owner = self._owner(holding.held.cell)
-            if holding.owner and owner != holding.owner:
-                # The former broker may be the owner again one day; a permit
-                # left there would take up its slot for ever.
-                gone = _nothing_done(holding.held)
-                self._send(holding.owner, self._frame(releases=[gone]))
-                holding.owner = owner
-                self._send(owner, self._frame(held=[holding.held]))
+        # Iterates over a copy: if this instance is the new broker itself, it
+        # handles the frame within the call and grants pending requests, which
+        # changes the dictionary.
+        for permit in list(self._held_permits.values()):
+            broker_name = self._broker_of(permit.held.cell)
+            if permit.broker_name and broker_name != permit.broker_name:
+                # The former broker may become the cell's broker again; a
+                # permit left there would occupy its slot for ever.
+                gone = _empty_release(permit.held)
+                self._send(permit.broker_name, self._frame(releases=[gone]))
+                permit.broker_name = broker_name
+                self._send(broker_name, self._frame(held=[permit.held]))
         for pending in list(self._pending.values()):
-            self._route(pending, now)
-        for cell in list(self._local):
-            self._step_local(cell, now)
+            self._ensure_requested(pending, now)
+        for cell in list(self._local_brokers):
+            self._step_local_broker(cell, now)
 
-    def _route(self, pending: _Pending, now: float) -> None:
+    def _ensure_requested(self, pending: _PendingRequest, now: float) -> None:
         if self._coordination != COORDINATION_BROKER:
-            self._ask_local(pending, now)
+            self._enqueue_locally(pending, now)
             return
-        owner = self._owner(pending.ask.cell)
-        if owner != pending.owner:
-            former = pending.owner
-            pending.owner = owner
-            pending.sent_at = now
-            self._send(owner, self._frame(asks=[self._renewed(pending)]))
+        broker_name = self._broker_of(pending.request.cell)
+        if broker_name != pending.broker_name:
+            former = pending.broker_name
+            pending.broker_name = broker_name
+            pending.requested_at = now
+            self._send(
+                broker_name,
+                self._frame(asks=[self._refreshed_request(pending)]),
+            )
             if former:
-                gone = _nothing_done(pending.ask)
+                gone = _empty_release(pending.request)
                 self._send(former, self._frame(releases=[gone]))
             return
-        heard = max(self._heard.get(owner, 0.0), pending.sent_at)
-        lost = self._heard.get(owner) == float("-inf")
-        if lost or now - heard > self._timeout_s:
-            self._ask_local(pending, now)
+        last_activity = max(
+            self._last_frame_at.get(broker_name, 0.0), pending.requested_at
+        )
+        link_down = self._last_frame_at.get(broker_name) == float("-inf")
+        if link_down or now - last_activity > self._timeout_s:
+            self._enqueue_locally(pending, now)
 
-    def _owner(self, cell: str) -> str:
-        """Returns the instance that brokers a cell, or "" without brokers.
+    def _broker_of(self, cell: str) -> str:
+        """Returns the instance that hosts a cell's broker, or "" in naive mode.
 
-        Kept until the live instances change: to hash all of them for each
-        permit at each tick would take a fifth of a core at 400 instances.
+        Cached until the set of live instances changes: hashing all instances
+        for each permit at each tick would take a fifth of a core at 400
+        instances.
         """
         if self._coordination != COORDINATION_BROKER:
             return ""
         now = time.monotonic()
-        if now - self._names_at >= TICK_S:
-            self._names_at = now
+        if now - self._live_names_at >= TICK_S:
+            self._live_names_at = now
             names = [member.instance for member in self._live()]
-            if names != self._names:
-                self._names = names
-                self._owners.clear()
-        if cell not in self._owners:
-            owner = rendezvous.owner(cell, self._names)
-            self._owners[cell] = owner or self._own.instance
-        return self._owners[cell]
-
-    def _ask_local(self, pending: _Pending, now: float) -> None:
+            if names != self._live_names:
+                self._live_names = names
+                self._broker_names.clear()
+        if cell not in self._broker_names:
+            broker_name = rendezvous.owner(cell, self._live_names)
+            self._broker_names[cell] = broker_name or self._own.instance
+        return self._broker_names[cell]
+
+    def _enqueue_locally(self, pending: _PendingRequest, now: float) -> None:
         if pending.local:
             return
         pending.local = True
         self._counters.incr("permit.local_asks")
-        name = pending.ask.cell
-        broker = self._local.get(name)
+        name = pending.request.cell
+        broker = self._local_brokers.get(name)
         if broker is None:
             cells = self._directory().cells
-            broker = self._new_local(cells.get(name, Cell(name, (), 1)), now)
+            broker = self._new_local_broker(
+                cells.get(name, Cell(name, (), 1)), now
+            )
             broker.set_leaving(self._leaving)
-            self._local[name] = broker
-        broker.ask(queued_request(pending.ask, self._own.instance, now), now)
-        self._step_local(name, now)
+            self._local_brokers[name] = broker
+        broker.ask(
+            queued_request(pending.request, self._own.instance, now), now
+        )
+        self._step_local_broker(name, now)
 
-    def _new_local(self, cell: Cell, now: float) -> Broker | NaiveBroker:
+    def _new_local_broker(self, cell: Cell, now: float) -> Broker | NaiveBroker:
         if self._coordination == COORDINATION_NAIVE:
             return NaiveBroker(cell)
         broker = Broker(cell, share=1 / max(1, len(self._live())))
-        for item in self._holding.values():
+        for item in self._held_permits.values():
             if item.held.cell == cell.name:
                 broker.hold(item.held, self._own.instance, now)
         return broker
 
-    def _step_local(self, cell: str, now: float) -> None:
+    def _step_local_broker(self, cell: str, now: float) -> None:
         try:
-            decisions = self._local[cell].step(now)
+            decisions = self._local_brokers[cell].step(now)
         except InvariantError as exc:
             self._invariants.violated(exc)
             return
         for decision in decisions:
-            self._take(decision.message, "")
+            self._handle(decision.message, "")
 
     @singledispatchmethod
-    def _take(self, message, peer: str) -> None:
-        raise TypeError(f"no such message: {message!r} of {peer}")
+    def _handle(self, message, peer: str) -> None:
+        raise TypeError(f"unexpected message {message!r} from {peer}")
 
-    @_take.register
-    def _take_grant(self, message: Grant, peer: str) -> None:
+    @_handle.register
+    def _handle_grant(self, message: Grant, peer: str) -> None:
         pending = self._pending.pop(message.ask_id, None)
         if pending is None:
-            self._return_late(message, peer)
+            self._release_late_grant(message, peer)
             return
         held = Held(
             message.ask_id,
-            pending.ask.cell,
+            pending.request.cell,
             message.server,
-            pending.ask.rank,
-            pending.ask.preemptible,
+            pending.request.rank,
+            pending.request.preemptible,
+        )
+        self._held_permits[message.ask_id] = _HeldPermit(
+            held, pending.broker_name
         )
-        self._holding[message.ask_id] = _Holding(held, pending.owner)
         if peer:
-            self._drop_local(pending)
-        elif pending.owner:
-            # The broker that was silent learns what is held once it is back.
-            self._send(pending.owner, self._frame(held=[held]))
+            self._withdraw_locally(pending)
+        elif pending.broker_name:
+            # Reports the locally granted permit to the unresponsive broker,
+            # which counts it once it responds again.
+            self._send(pending.broker_name, self._frame(held=[held]))
         self._counters.incr("permit.granted" if peer else "permit.local")
         self._finish(pending, message)
 
-    @_take.register
-    def _take_refusal(self, message: Refusal, peer: str) -> None:
+    @_handle.register
+    def _handle_refusal(self, message: Refusal, peer: str) -> None:
         pending = self._pending.get(message.ask_id)
         if pending is None:
             return
-        if message.reason == REFUSED_UNKNOWN_CELL and self._has(pending.ask):
-            # The broker's manifest is older than ours; ask again.
-            pending.owner = ""
+        if message.reason == REFUSED_UNKNOWN_CELL and self._manifest_has_cell(
+            pending.request
+        ):
+            # The broker's manifest is older than this instance's; the next
+            # tick requests the permit again.
+            pending.broker_name = ""
             return
         del self._pending[message.ask_id]
         if peer:
-            self._drop_local(pending)
-        elif pending.owner:
-            gone = _nothing_done(pending.ask)
-            self._send(pending.owner, self._frame(releases=[gone]))
+            self._withdraw_locally(pending)
+        elif pending.broker_name:
+            gone = _empty_release(pending.request)
+            self._send(pending.broker_name, self._frame(releases=[gone]))
         self._counters.incr(f"permit.refused_{message.reason}")
         self._finish(pending, message)
 
-    @_take.register
-    def _take_revoke(self, message: Revoke, peer: str) -> None:
+    @_handle.register
+    def _handle_revoke(self, message: Revoke, peer: str) -> None:
         del peer
-        holding = self._holding.get(message.ask_id)
-        if holding is not None:
-            holding.revoked = True
+        permit = self._held_permits.get(message.ask_id)
+        if permit is not None:
+            permit.revoked = True
 
-    @_take.register
-    def _take_loan(self, message: Loan, peer: str) -> None:
+    @_handle.register
+    def _handle_loan(self, message: Loan, peer: str) -> None:
         del peer
-        self._last_loan[message.organisation] = message
-        for event in self._loans.pop(message.organisation, []):
+        self._last_loans[message.organisation] = message
+        for event in self._loan_events.pop(message.organisation, []):
             event.set()
 
-    def _has(self, ask: Ask) -> bool:
+    def _manifest_has_cell(self, request: Ask) -> bool:
         directory = self._directory()
-        return directory is not None and ask.cell in directory.cells
+        return directory is not None and request.cell in directory.cells
 
-    def _return_late(self, grant: Grant, peer: str) -> None:
-        """Gives back a grant that nobody waits for any more.
+    def _release_late_grant(self, grant: Grant, peer: str) -> None:
+        """Releases a grant whose request is no longer pending.
 
-        A broker that was frozen grants from its old queue when it thaws; the
-        request has gone elsewhere since, and the slot would stay taken.
+        A broker that was frozen grants from its old queue when it resumes.
+        The request has been granted elsewhere or has ended by then, and the
+        slot would stay occupied.
         """
-        holding = self._holding.get(grant.ask_id)
-        if holding is not None and holding.held.server == grant.server:
+        permit = self._held_permits.get(grant.ask_id)
+        if permit is not None and permit.held.server == grant.server:
             return
         self._counters.incr("permit.late_grants")
         if peer:
             gone = Release(grant.ask_id, grant.cell, 0.0, False, 0.0)
             self._send(peer, self._frame(releases=[gone]))
 
-    def _finish(self, pending: _Pending, result: Grant | Refusal) -> None:
+    def _finish(
+        self, pending: _PendingRequest, result: Grant | Refusal
+    ) -> None:
         pending.result = result
         pending.done.set()
 
-    def _withdraw(self, pending: _Pending) -> None:
-        self._pending.pop(pending.ask.ask_id, None)
-        gone = _nothing_done(pending.ask)
+    def _withdraw(self, pending: _PendingRequest) -> None:
+        self._pending.pop(pending.request.ask_id, None)
+        gone = _empty_release(pending.request)
         if pending.result is not None:
-            # Granted and cancelled at the same moment: the slot goes back.
+            # Granted and cancelled at the same moment: release the slot.
             self.release(gone)
             return
-        self._drop_local(pending)
-        if pending.owner:
-            self._send(pending.owner, self._frame(releases=[gone]))
+        self._withdraw_locally(pending)
+        if pending.broker_name:
+            self._send(pending.broker_name, self._frame(releases=[gone]))
 
-    def _drop_local(self, pending: _Pending) -> None:
-        local = self._local.get(pending.ask.cell)
+    def _withdraw_locally(self, pending: _PendingRequest) -> None:
+        local = self._local_brokers.get(pending.request.cell)
         if local is not None and pending.local:
-            local.release(_nothing_done(pending.ask), time.monotonic())
+            local.release(_empty_release(pending.request), time.monotonic())
 
-    def _renewed(self, pending: _Pending) -> Ask:
+    def _refreshed_request(self, pending: _PendingRequest) -> Ask:
         waited = time.monotonic() - pending.started
         return dataclasses.replace(
-            pending.ask,
-            wait_s=pending.ask.wait_s + waited,
-            max_wait_s=max(0.0, pending.ask.max_wait_s - waited),
+            pending.request,
+            wait_s=pending.request.wait_s + waited,
+            max_wait_s=max(0.0, pending.request.max_wait_s - waited),
         )
 
-    async def _ask_loan(
+    async def _request_loan(
         self, organisation: Organisation, wanted: float
     ) -> Loan:
         names = [member.instance for member in self._live()]
-        home = rendezvous.owner(organisation.name, names)
+        coordinator = rendezvous.owner(organisation.name, names)
         event = anyio.Event()
-        self._loans.setdefault(organisation.name, []).append(event)
+        self._loan_events.setdefault(organisation.name, []).append(event)
         borrow = Borrow(organisation.name, wanted)
-        self._send(home or self._own.instance, self._frame(borrows=[borrow]))
+        self._send(
+            coordinator or self._own.instance, self._frame(borrows=[borrow])
+        )
         with anyio.move_on_after(self._timeout_s):
             await event.wait()
-            return self._last_loan[organisation.name]
-        # The home is unreachable: lend from this instance's share of the
-        # limit, so that all instances together stay within it.
+            return self._last_loans[organisation.name]
+        # The limit's coordinator is unresponsive: lend from this instance's
+        # share of the limit, so that all instances together stay within it.
         self._counters.incr("limit.home_silent")
         now = time.monotonic()
-        share = self._shares.get(organisation.name)
+        share = self._fallback_buckets.get(organisation.name)
         if share is None:
             rate = organisation.tokens_per_s / max(1, len(names))
             share = Bucket(Limit(rate, rate), now)
-            self._shares[organisation.name] = share
+            self._fallback_buckets[organisation.name] = share
         lent = share.lend(wanted, now)
         return Loan(organisation.name, lent, share.retry_s(wanted))
 
@@ -509,5 +538,5 @@
     return Limit.of(organisation.tokens_per_s, organisation.burst_tokens)
 
 
-def _nothing_done(ask: Ask | Held) -> Release:
-    return Release(ask.ask_id, ask.cell, 0.0, False, 0.0)
+def _empty_release(request: Ask | Held) -> Release:
+    return Release(request.ask_id, request.cell, 0.0, False, 0.0)
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -9,7 +9,7 @@
 
 from jasminerelay import burn, claims
 from jasminerelay.backends import AttemptError, Proof, Services
-from jasminerelay.claimdesk import ClaimDesk, Recorded, Won
+from jasminerelay.claimdesk import ClaimDesk, RecordedAnswer, Won
 from jasminerelay.errors import (
     RAN_UNKNOWN,
     BackendError,
@@ -150,7 +150,7 @@
     async def _attempts(
         self, request: ServiceRequest, outcome: Outcome, started: float
     ) -> Reply:
-        won: Won | None = None
+        acquired: Won | None = None
         avoid: list[str] = []
         while True:
             ask = self._ask(request, avoid, started)
@@ -158,25 +158,25 @@
             try:
                 grant = await self._desk.acquire(ask)
             except BaseException:
-                await self._give_up(won, outcome)
+                await self._give_up(acquired, outcome)
                 raise
             if isinstance(grant, Refusal):
-                await self._give_up(won, outcome)
+                await self._give_up(acquired, outcome)
                 raise self._no_room(request, outcome, grant, started)
             server = _named(request.service, grant.server)
             failed = True
             try:
-                if won is None and _is_claimed(request):
+                if acquired is None and _is_claimed(request):
                     claimed = await self._claim(request)
-                    if isinstance(claimed, Recorded):
+                    if isinstance(claimed, RecordedAnswer):
                         failed = False
                         return _replay(outcome, claimed)
-                    won = claimed
+                    acquired = claimed
                 reply = await self._dispatch(request, server, outcome)
                 failed = False
-                if won is not None:
+                if acquired is not None:
                     await self._claims.finish(
-                        won,
+                        acquired,
                         reply.status,
                         reply.headers.get("content-type", ""),
                         reply.body,
@@ -184,7 +184,9 @@
                 return reply
             except AttemptError as exc:
                 failed = not exc.leaving
-                await self._judge(exc, request, server, outcome, won, avoid)
+                await self._judge(
+                    exc, request, server, outcome, acquired, avoid
+                )
                 avoid.append(server.name)
             except RelayError:
                 failed = False
@@ -194,7 +196,7 @@
                     Release(ask.ask_id, ask.cell, CALL_WORK, failed, 0.0)
                 )
 
-    async def _claim(self, request: ServiceRequest) -> Won | Recorded:
+    async def _claim(self, request: ServiceRequest) -> Won | RecordedAnswer:
         key = claims.row_key(
             request.organisation.name, request.service.name, request.key
         )
@@ -238,7 +240,7 @@
         request: ServiceRequest,
         server: Server,
         outcome: Outcome,
-        won: Won | None,
+        acquired: Won | None,
         avoid: list[str],
     ) -> None:
         """Returns if the call may be tried again, else raises."""
@@ -248,8 +250,10 @@
         if error.proof is Proof.NOT_RUN:
             outcome.refused()
         elif not _may_repeat(request, server):
-            if won is not None:
-                await self._claims.reopen(won, claims.UNKNOWN)
+            if acquired is not None:
+                await self._claims.close_without_answer(
+                    acquired, claims.UNKNOWN
+                )
             raise BackendError(
                 f"the service did not answer: {error}",
                 remedy=(
@@ -260,7 +264,7 @@
             )
         if len(avoid) + 1 >= MAX_ATTEMPTS or not self._retries.spend():
             self._counters.incr("retry.exhausted")
-            await self._give_up(won, outcome)
+            await self._give_up(acquired, outcome)
             if outcome.may_have_run:
                 raise BackendError(
                     f"the service did not answer: {error}", ran=RAN_UNKNOWN
@@ -269,11 +273,11 @@
                 f"no backend server took the call: {error}", retry_s=1.0
             )
 
-    async def _give_up(self, won: Won | None, outcome: Outcome) -> None:
-        if won is None:
+    async def _give_up(self, acquired: Won | None, outcome: Outcome) -> None:
+        if acquired is None:
             return
         state = claims.UNKNOWN if outcome.may_have_run else claims.NOT_RUN
-        await self._claims.reopen(won, state)
+        await self._claims.close_without_answer(acquired, state)
 
     def _no_room(
         self,
@@ -304,7 +308,7 @@
     ) -> Ask:
         cls = request.service_class
         organisation = request.organisation
-        cell = self._desk.cell_for(request.service, organisation.name, ())
+        cell = self._desk.choose_cell(request.service, organisation.name, ())
         waited = time.monotonic() - started
         return Ask(
             uuid.uuid4().hex,
@@ -367,7 +371,7 @@
     raise BackendError(f"granted unknown backend server {name!r}")
 
 
-def _replay(outcome: Outcome, recorded: Recorded) -> Reply:
+def _replay(outcome: Outcome, recorded: RecordedAnswer) -> Reply:
     outcome.not_run()
     claim = recorded.claim
     headers = {"content-type": claim.content_type, REPLAYED_HEADER: "true"}
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -74,7 +74,7 @@
     Safeguard(
         "a keyed call is claimed before its dispatch",
         "servicecalls",
-        "if won is None and _is_claimed(request):",
+        "if acquired is None and _is_claimed(request):",
         "if False:",
         "test_atmostonce.AtMostOnceTest.test_two_instances_at_once",
     ),
@@ -88,14 +88,15 @@
     Safeguard(
         "an abandoned claim is reopened",
         "claimdesk",
-        "            self._later(self._abandon, key, claim)\n",
+        "            self._run_in_background("
+        "self._close_unacknowledged, key, claim)\n",
         "",
         "test_atmostonce.AtMostOnceTest.test_abandoned_claim_is_reopened",
     ),
     Safeguard(
         "an open claim is never taken over",
         "claims",
-        "if row.state == OPEN and now - row.at <= longest_s:",
+        "if row.state == OPEN and now - row.at <= max_call_s:",
         "if row.state == OPEN:\n        return\n    if False:",
         "test_atmostonce.KilledOwnerTest.test_killed_mid_call",
     ),
@@ -259,10 +260,10 @@
     Safeguard(
         "a former broker keeps no permit",
         "permits",
-        "                self._send(holding.owner,"
-        " self._frame(releases=[gone]))\n                holding.owner",
-        "                holding.owner",
-        "test_permits.PermitsTest.test_former_broker_keeps_nothing",
+        "                self._send(permit.broker_name,"
+        " self._frame(releases=[gone]))\n                permit.broker_name",
+        "                permit.broker_name",
+        "test_permits.PermitsTest.test_former_broker_releases_permit",
     ),
     Safeguard(
         "a new session forgets what the former one held",
@@ -270,14 +271,14 @@
         "            hosted.broker.remove_instance(entry, permits=True)\n"
         "        self._sessions[entry] = send",
         "            pass\n        self._sessions[entry] = send",
-        "test_permits.PermitsTest.test_new_session_forgets_lost_releases",
+        "test_permits.PermitsTest.test_new_session_frees_lost_releases",
     ),
     Safeguard(
         "a late grant goes back to its cell",
         "permits",
         "gone = Release(grant.ask_id, grant.cell, 0.0, False, 0.0)",
         'gone = Release(grant.ask_id, "", 0.0, False, 0.0)',
-        "test_permits.PermitsTest.test_silent_broker_and_its_late_grant",
+        "test_permits.PermitsTest.test_unresponsive_broker_and_late_grant",
     ),
     Safeguard(
         "the broker of a cell that is gone refuses",
@@ -285,7 +286,7 @@
         "hosted.broker.update(directory.cells.get(name, gone))",
         "hosted.broker.update(directory.cells[name]) if name in"
         " directory.cells else gone",
-        "test_permits.PermitsTest.test_cell_that_is_gone",
+        "test_permits.PermitsTest.test_removed_cell",
     ),
     Safeguard(
         "the request head is bounded",
--- a/tests/test_atmostonce.py
+++ b/tests/test_atmostonce.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated run at most once, and "not run" is true."""
+"""Non-repeatable calls run at most once, and "not run" is always accurate."""
 
 import itertools
 import time
@@ -35,56 +35,56 @@
         )
 
     def runs(self, key: str) -> int:
-        """Returns how often a call ran, by the service's own journal."""
+        """Returns how often a call ran, according to the service's journal."""
         journal = self.system.journal("bookings", "runs")
         return sum(item["key"] == key for item in journal)
 
-    def on_services(self, **fields) -> None:
+    def set_faults(self, **fields) -> None:
         for name in ("bookings-1", "bookings-2"):
             self.system.fault(name, **fields)
 
 
 class NotRunTest(ServiceCase):
-    """What the caller is told matches the service's journal."""
+    """The outcome reported to the caller matches the service's journal."""
 
-    def test_refusal_goes_elsewhere(self) -> None:
-        # One server refuses before it runs the call; that is proof, so the
-        # call goes to another server and runs once there.
+    def test_refused_call_is_sent_to_another_server(self) -> None:
+        # A refusal before the call runs proves that it did not run, so the
+        # call must be sent to another server and run once there.
         key = fresh_key()
         self.system.fault("bookings-1", refuse=1)
         self.system.fault("bookings-2", refuse=1)
         status, _ = self.confirm(self.system.daemons[0], key)
-        self.on_services(refuse=0)
+        self.set_faults(refuse=0)
         self.assertEqual(status, 200)
         self.assertEqual(self.runs(key), 1)
 
     def test_all_refuse(self) -> None:
-        # Every server refuses: the caller is told "not run" and when to come
-        # back; the journal agrees. The repeat then runs, once.
+        # Every server refuses: the caller must get "not run" and a retry
+        # delay, and the journal must show no run. A later repeat runs once.
         key = fresh_key()
-        self.on_services(refuse=1000)
+        self.set_faults(refuse=1000)
         status, body = self.confirm(self.system.daemons[0], key)
         self.assertEqual(status, 503)
         self.assertEqual(body["error"]["ran"], "no")
         self.assertEqual(self.runs(key), 0)
-        self.on_services(refuse=0)
+        self.set_faults(refuse=0)
         wait_for(lambda: self.confirm(self.system.daemons[1], key)[0] == 200)
         self.assertEqual(self.runs(key), 1)
 
     def test_answer_lost_without_key(self) -> None:
-        # The service runs the call and its answer is lost. The relay may not
-        # send it again, and says "unknown"; it ran once.
+        # The service runs the call and its answer is lost. Without a key the
+        # relay must not send it again and reports "unknown"; it ran once.
         before = len(self.system.journal("bookings", "runs"))
-        self.on_services(drop_after=1)
+        self.set_faults(drop_after=1)
         status, body = self.confirm(self.system.daemons[0], "")
-        self.on_services(drop_after=0)
+        self.set_faults(drop_after=0)
         self.assertEqual(status, 502)
         self.assertEqual(body["error"]["ran"], "unknown")
         after = len(self.system.journal("bookings", "runs"))
         self.assertEqual(after - before, 1)
 
     def test_answer_lost_of_a_lookup(self) -> None:
-        # A call that may repeat is sent again within the budget.
+        # A repeatable call is sent again, within the retry budget.
         self.system.fault("bookings-1", drop_after=1)
         status, _ = call(
             "GET",
@@ -96,7 +96,7 @@
 
 
 class AtMostOnceTest(ServiceCase):
-    """One key, many losses."""
+    """Calls with an idempotency key, under lost messages and outages."""
 
     def test_repeat_replays(self) -> None:
         key = fresh_key()
@@ -124,9 +124,9 @@
         self.assertEqual(self.runs(key), 1)
 
     def test_two_instances_at_once(self) -> None:
-        # The same key arrives at both instances at the same time. One claims
-        # it; the other is told to wait, or replays. It runs once.
-        self.on_services(slow_s=0.2)
+        # The same key arrives at both instances at the same time. One acquires
+        # the claim; the other reports a conflict or replays. It runs once.
+        self.set_faults(slow_s=0.2)
         for _ in range(5):
             key = fresh_key()
             calls = [
@@ -137,11 +137,12 @@
             self.assertIn(200, statuses)
             self.assertLessEqual(set(statuses), {200, 409})
             self.assertEqual(self.runs(key), 1)
-        self.on_services(slow_s=0.0)
+        self.set_faults(slow_s=0.0)
 
     def test_other_body_and_other_organisation(self) -> None:
-        # The same key with another body is refused. Another organisation's
-        # same key is its own: it neither reads nor blocks the first.
+        # The same key with another body must be refused. The same key of
+        # another organisation is separate: it neither reads nor blocks the
+        # first.
         key = fresh_key()
         self.assertEqual(self.confirm(self.system.daemons[0], key)[0], 200)
         status, _ = self.confirm(self.system.daemons[0], key, body="fridge")
@@ -154,12 +155,13 @@
         self.assertEqual(self.runs(key), 2)
 
     def test_answer_lost(self) -> None:
-        # The service runs the call and its answer is lost: "unknown". Every
-        # repeat, at any instance, is told so and does not run.
+        # The service runs the call and its answer is lost, so the outcome is
+        # "unknown". Every repeat, at any instance, must report that and not
+        # run.
         key = fresh_key()
-        self.on_services(drop_after=1)
+        self.set_faults(drop_after=1)
         status, body = self.confirm(self.system.daemons[0], key)
-        self.on_services(drop_after=0)
+        self.set_faults(drop_after=0)
         self.assertEqual((status, body["error"]["ran"]), (502, "unknown"))
         for daemon in self.system.daemons * 2:
             status, body = self.confirm(daemon, key)
@@ -167,8 +169,9 @@
         self.assertEqual(self.runs(key), 1)
 
     def test_claim_acknowledgement_lost(self) -> None:
-        # The insert of the claim takes effect and its answer is lost, twice.
-        # The relay finds its own token in the row and goes on: one run.
+        # The insert of the claim takes effect and its acknowledgement is lost
+        # twice. The relay must recognise its own token in the row and
+        # dispatch the call, once.
         key = fresh_key()
         self.system.fault("table", lose_acks=2)
         status, _ = self.confirm(self.system.daemons[0], key)
@@ -177,9 +180,9 @@
         self.assertEqual(self.runs(key), 1)
 
     def test_store_down_before_the_claim(self) -> None:
-        # The store is down: the call is not sent, and the caller is told
-        # that this attempt was not. Whether an earlier one ran it cannot be
-        # told, so "not run" is not said. Afterwards the repeat runs, once.
+        # The store is down, so the call is not sent. An earlier attempt with
+        # the key may have run, so the outcome must be "unknown", not "not
+        # run". After the outage the repeat runs once.
         key = fresh_key()
         self.system.fault("table", down=True)
         status, body = self.confirm(self.system.daemons[0], key)
@@ -190,11 +193,11 @@
         self.assertEqual(self.runs(key), 1)
 
     def test_store_down_between_claim_and_outcome(self) -> None:
-        # The store goes down while the service runs the call. The caller
-        # still gets its answer; a repeat meanwhile does not run; when the
-        # store is back the outcome is recorded and replayed.
+        # The store goes down while the service runs the call. The caller must
+        # still get its answer, and a repeat during the outage must not run.
+        # After the outage the outcome is recorded and replayed.
         key = fresh_key()
-        self.on_services(slow_s=0.5)
+        self.set_faults(slow_s=0.5)
         first = Background(self.confirm, self.system.daemons[0], key)
         wait_for(lambda: self.runs(key) == 1)
         self.system.fault("table", down=True)
@@ -203,14 +206,14 @@
         status, body = self.confirm(self.system.daemons[1], key)
         self.assertEqual((status, body["error"]["ran"]), (503, "unknown"))
         self.system.fault("table", down=False)
-        self.on_services(slow_s=0.0)
+        self.set_faults(slow_s=0.0)
         wait_for(lambda: self.confirm(self.system.daemons[1], key)[0] == 200)
         self.assertEqual(self.runs(key), 1)
 
     def test_abandoned_claim_is_reopened(self) -> None:
-        # The insert takes effect, its answers are lost until the time limit,
-        # and the caller is refused. The row must not block the key for ever:
-        # it is closed as not run, and the repeat runs.
+        # The insert takes effect, but its acknowledgements are lost until the
+        # timeout, and the caller is refused. The open row must not block the
+        # key for ever: it is closed as not run, and the repeat runs.
         key = fresh_key()
         self.system.fault("table", lose_acks=10_000)
         status, _ = self.confirm(self.system.daemons[0], key)
@@ -221,10 +224,10 @@
         self.assertEqual(self.runs(key), 1)
 
     def test_caller_hangs_up(self) -> None:
-        # The caller goes while the service runs the call. The call finishes
-        # and its outcome is there for the repeat.
+        # The caller disconnects while the service runs the call. The call
+        # must complete and its outcome be recorded for the repeat.
         key = fresh_key()
-        self.on_services(slow_s=0.5)
+        self.set_faults(slow_s=0.5)
         try:
             call(
                 "POST",
@@ -237,20 +240,20 @@
         except Exception as exc:
             self.assertIn("Timeout", type(exc).__name__)
         wait_for(lambda: self.confirm(self.system.daemons[1], key)[0] == 200)
-        self.on_services(slow_s=0.0)
+        self.set_faults(slow_s=0.0)
         self.assertEqual(self.runs(key), 1)
 
 
 class FrozenOwnerTest(ServiceCase):
-    """The instance that owns a claim is frozen or killed."""
+    """The instance that owns a claim is frozen."""
 
     def test_frozen_and_thawed(self) -> None:
-        # The owner is frozen while the service runs the call, for longer
-        # than every time limit. Repeats elsewhere are told that it is open.
-        # It thaws, records the outcome and answers; the repeat replays.
+        # The owner is frozen while the service runs the call, for longer than
+        # every timeout. Repeats at another instance must get a conflict. The
+        # resumed owner records the outcome and answers; the repeat replays.
         key = fresh_key()
         first, second = self.system.daemons
-        self.on_services(slow_s=0.3)
+        self.set_faults(slow_s=0.3)
         pending = Background(self.confirm, first, key)
         wait_for(lambda: self.runs(key) == 1)
         first.freeze()
@@ -262,21 +265,21 @@
                 self.assertEqual(body["error"]["ran"], "unknown")
         finally:
             first.thaw()
-        self.on_services(slow_s=0.0)
+        self.set_faults(slow_s=0.0)
         self.assertEqual(pending.result()[0], 200)
         wait_for(lambda: self.confirm(second, key)[0] == 200)
         self.assertEqual(self.runs(key), 1)
 
 
 class KilledOwnerTest(ServiceCase):
-    """The instance that owns a claim dies."""
+    """The instance that owns a claim is killed."""
 
     def test_killed_mid_call(self) -> None:
-        # The owner is killed while the service runs the call. Nobody can
-        # tell the outcome; repeats never run it a second time.
+        # The owner is killed while the service runs the call. The outcome is
+        # unknown, so repeats must never run the call a second time.
         key = fresh_key()
         first, second = self.system.daemons
-        self.on_services(slow_s=0.5)
+        self.set_faults(slow_s=0.5)
         pending = Background(self.confirm, first, key)
         wait_for(lambda: self.runs(key) == 1)
         self.end(first)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Brokers and stores fail; work goes on and order is kept."""
+"""Tests of coordination under broker failures, store outages and overload."""
 
 import itertools
 import json
@@ -26,7 +26,7 @@
 
 
 class Load:
-    """Sends chat requests at an instance, one after the other."""
+    """Sends chat requests in a closed loop, one thread for each entry."""
 
     def __init__(self, daemons: list[Daemon], prompt: str, **fields):
         self.statuses: list[int] = []
@@ -42,7 +42,7 @@
             thread.start()
 
     def stop(self) -> None:
-        """Ends the load and waits for the last answers."""
+        """Stops the load and waits for the last answers."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
@@ -59,7 +59,7 @@
 
 
 class BrokerCase(SystemCase):
-    """A system whose broker of the model pool is known."""
+    """A system with helpers to find the model pool's broker."""
 
     options = Options(
         daemons=3,
@@ -80,8 +80,8 @@
             if daemon is not broker and not hasattr(daemon, "ended")
         ]
 
-    def wait_for_peers(self) -> None:
-        """Waits until every instance has granted through the broker."""
+    def wait_for_grants(self) -> None:
+        """Sends one request through each instance, so that all have a link."""
         for daemon in self.system.daemons:
             chat(daemon, "first")
 
@@ -90,12 +90,11 @@
     """The broker of a cell is frozen, then killed."""
 
     def test_frozen_then_killed(self) -> None:
-        # The broker stops answering while its connections stay open. The
-        # others grant from their own shares after the time limit, then turn
-        # to the next broker. Every request at a living instance is served.
-        # It thaws and is the broker again; then it is killed, with the same
-        # result.
-        self.wait_for_peers()
+        # The broker is frozen while its connections stay open. The other
+        # instances must grant from their own shares after the timeout and
+        # then use the next broker, so that every request at a live instance
+        # is served. The same must hold when the resumed broker is killed.
+        self.wait_for_grants()
         broker = self.broker()
         others = self.others(broker)
         load = Load(others * 3, "[len=8]")
@@ -137,12 +136,12 @@
 
 
 class StoreOutageTest(BrokerCase):
-    """The table service, the object store and the list are down."""
+    """The table service, object store and instance list hang."""
 
-    def test_ordinary_traffic_goes_on(self) -> None:
-        # Nothing of the platform answers. Model requests and calls that may
-        # repeat are served as before, since nothing on their way asks it.
-        self.wait_for_peers()
+    def test_traffic_without_claims_is_served(self) -> None:
+        # Model requests and repeatable calls must be served as before, since
+        # nothing on their path depends on the platform services.
+        self.wait_for_grants()
         for name in ("table", "objects", "instances"):
             self.system.fault(name, hang=True)
         load = Load(self.system.daemons * 2, "[len=5]")
@@ -160,7 +159,7 @@
 
 
 class OverloadTest(SystemCase):
-    """More work than slots; small queues."""
+    """More requests than slots, with small queues."""
 
     options = Options(
         daemons=3,
@@ -175,8 +174,8 @@
 
     def test_protected_is_never_shed(self) -> None:
         # A burst of chats fills the slots and the queue, so that many are
-        # refused. Confirmations come in between; every one is served, since
-        # the queue sheds from the lowest tier upward.
+        # refused. Each protected confirmation sent meanwhile must be served,
+        # since the queue sheds from the lowest tier upward.
         load = Load(self.system.daemons * 12, "[len=30]")
         wait_for(lambda: 503 in load.statuses)
         for number in range(40):
@@ -190,8 +189,8 @@
         self.assertLessEqual(set(load.statuses), {200, 503})
 
     def test_lowest_class_is_served(self) -> None:
-        # Higher tiers keep every slot and the queue busy without end. The
-        # lowest class still gets its guaranteed share of grants.
+        # Higher tiers keep every slot and the queue full. The lowest class
+        # must still get its guaranteed share of grants.
         load = Load(self.system.daemons * 6, "[len=10]")
         wait_for(lambda: len(load.statuses) > 20)
         for number in range(3):
@@ -205,10 +204,10 @@
             print(f"{time.monotonic() - started:.2f} s", end=" ")
         load.stop()
 
-    def test_preempted_goes_on(self) -> None:
-        # Long run sheets hold every slot. Chats come and take slots back.
-        # The run sheets go on later from what was delivered: each caller
-        # gets its whole answer, and no token is computed twice.
+    def test_preempted_request_continues(self) -> None:
+        # Long run sheets occupy every slot and are preempted by chats. They
+        # must continue later from the tokens delivered: each caller gets its
+        # complete answer, and no token is computed twice.
         before = {
             item["id"] for item in self.system.journal("model", "attempts")
         }
@@ -222,22 +221,22 @@
             )
             for number, prompt in enumerate(prompts)
         ]
-        wait_for(lambda: self.made_way() > 0 or self.burst())
+        wait_for(lambda: self.preemptions() > 0 or self.burst())
         for sheet, prompt in zip(sheets, prompts, strict=True):
             seen = sheet.result()
             self.assertTrue(seen.whole, seen.error)
             self.assertEqual(seen.text, answer_to(prompt))
-        self.assertGreater(self.made_way(), 0)
+        self.assertGreater(self.preemptions(), 0)
         sheet_tokens = sum(
             item["tokens"]
             for item in self.system.journal("model", "attempts")
             if item["id"] not in before
             and item["prompt"] in {prompt_hash(prompt) for prompt in prompts}
         )
-        # One token of each attempt may be under way when it makes way.
-        self.assertLessEqual(sheet_tokens, 6 * 120 + 3 * self.made_way())
+        # At each preemption one token may be computed but not delivered.
+        self.assertLessEqual(sheet_tokens, 6 * 120 + 3 * self.preemptions())
 
-    def made_way(self) -> int:
+    def preemptions(self) -> int:
         return sum(
             self.system.status(daemon)["counters"].get("permit.made_way", 0)
             for daemon in self.system.daemons
@@ -254,9 +253,9 @@
             item.result()
         return False
 
-    def test_refused_callers_know_when_to_come_back(self) -> None:
-        # A refused request is answered at once, says that it did not run and
-        # when to come back, and carries a ticket that keeps its age.
+    def test_refusal_carries_retry_after_and_ticket(self) -> None:
+        # A refusal must state that the request did not run and when to retry,
+        # and carry a ticket that preserves the request's age.
         load = Load(self.system.daemons * 12, "[len=30]")
         wait_for(lambda: 503 in load.statuses)
         refused = None
@@ -270,7 +269,7 @@
 
 
 def prompt_hash(prompt: str) -> str:
-    """Returns the name of a prompt in the engines' journals."""
+    """Returns the hash of a prompt as recorded in the engines' journals."""
     base = chat_prompt([{"role": "user", "content": prompt}])
     return xxhash.xxh64_hexdigest(base.encode())
 
@@ -289,7 +288,7 @@
 
 
 class OrganisationLimitTest(SystemCase):
-    """One organisation's limit, asked for at all instances at once."""
+    """One organisation's rate limit, used at all instances at once."""
 
     options = Options(
         daemons=3,
@@ -304,11 +303,11 @@
         ),
     )
 
-    def test_holds_over_all_instances(self) -> None:
-        # The organisation sends at three instances as fast as it can. All
-        # of them together serve no more than its limit; the rest is told at
-        # once that it did not run and when to come back. Others notice
-        # nothing. (Once, more was given back than had been taken.)
+    def test_limit_holds_across_instances(self) -> None:
+        # The organisation sends to three instances as fast as it can. All of
+        # them together must serve no more than its limit and refuse the rest
+        # with 429; other organisations are not affected. The limit was
+        # exceeded when more tokens were given back than had been taken.
         started = time.monotonic()
         load = Load(self.system.daemons * 2, "[len=10]", key="moreton-03-key")
         load.stop()
@@ -319,13 +318,15 @@
         load.stop()
         elapsed = time.monotonic() - started
         served = 10 * load.statuses.count(200)
-        # Each home starts with the burst; on a busy machine a false
-        # suspicion can move it. While the home is silent the instances lend
-        # from their shares, which are the rate together.
-        homes = self.counted("limit.homes")
+        # Each new coordinator of the limit starts with a full burst; on a
+        # busy machine a false suspicion can move the role. While the
+        # coordinator is unresponsive the instances lend from their shares,
+        # which add up to the rate.
+        coordinators = self.counted("limit.homes")
         silent = 1 if self.counted("limit.home_silent") else 0
         self.assertLessEqual(
-            served, 60 * homes + 40 * elapsed + silent * 40 * (elapsed + 1)
+            served,
+            60 * coordinators + 40 * elapsed + silent * 40 * (elapsed + 1),
         )
         self.assertEqual(set(load.statuses), {200, 429})
 
@@ -336,11 +337,11 @@
         )
 
 
-class TakeTurnsTest(BrokerCase):
-    """Streams over a planned hand-over of the broker's cells."""
+class BrokerHandoverTest(BrokerCase):
+    """Streams during a change of the cell's broker."""
 
     def test_streams_survive_a_new_broker(self) -> None:
-        self.wait_for_peers()
+        self.wait_for_grants()
         broker = self.broker()
         others = self.others(broker)
         calls = [
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -50,14 +50,14 @@
         async def acquire(ask) -> None:
             raise InvariantError(f"about {ask.cell}")
 
-        async def borrow(organisation, tokens) -> None:
+        async def take_tokens(organisation, tokens) -> None:
             del organisation, tokens
 
         desk = types.SimpleNamespace(
             acquire=acquire,
-            borrow=borrow,
+            take_tokens=take_tokens,
             settle=lambda *taken: None,
-            cell_for=lambda *asked: cell(server("s")),
+            choose_cell=lambda *asked: cell(server("s")),
         )
         kit = answers.Kit(
             desk,
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Desks and brokers of several instances, over links that can be cut."""
+"""Permit clients and brokers of several instances in one process."""
 
 import dataclasses
 import random
@@ -48,7 +48,7 @@
 
 
 class Instances:
-    """Three instances in one process; frames go at once or not at all."""
+    """Three instances; frames are delivered at once or not at all."""
 
     def __init__(self) -> None:
         self.names = ["a", "b", "c"]
@@ -96,7 +96,7 @@
         self.hosts[peer].take(frame)
 
     @property
-    def owner(self) -> str:
+    def broker_name(self) -> str:
         return rendezvous.owner(
             "pool/0", [name for name in self.names if name not in self.down]
         )
@@ -105,8 +105,8 @@
         return self.hosts[name].cells.get("pool/0", (0, 0))[1]
 
 
-def ask(ask_id: str) -> Ask:
-    """Returns an ask for a permit."""
+def permit_request(ask_id: str) -> Ask:
+    """Returns a permit request."""
     return Ask(
         ask_id,
         "pool/0",
@@ -129,7 +129,7 @@
 
 
 class PermitsTest(unittest.IsolatedAsyncioTestCase):
-    """Permits over changes of brokers and manifests."""
+    """Permits across changes of brokers and manifests."""
 
     def setUp(self) -> None:
         random.seed(1)
@@ -137,50 +137,52 @@
         self.entry = next(
             name
             for name in self.instances.names
-            if name != self.instances.owner
+            if name != self.instances.broker_name
         )
         self.desk = self.instances.desks[self.entry]
 
     async def test_grant_while_permits_move(self) -> None:
-        # The broker dies and this very instance is the next one. It moves its
-        # permits there; the broker, in the same process, answers at once and
-        # grants what waits. The instance ended on that (randomised run with
-        # seed 5): its table of permits changed while it was gone through.
+        # The broker fails and this instance becomes the broker. It reports its
+        # permits to itself, and the broker answers within the call and grants
+        # pending requests. The dictionary of permits then changed during
+        # iteration and the instance crashed (randomised run, seed 5).
         for number in range(3):
             self.desk.adopt(Held(str(number), "pool/0", "s", 1, False))
-        self.instances.down.add(self.instances.owner)
+        self.instances.down.add(self.instances.broker_name)
         sent = self.desk._send
 
         def answering(peer: str, frame: EntryFrame) -> None:
             sent(peer, frame)
             if frame.held:
                 granted = Held(f"late-{peer}", "pool/0", "s", 1, False)
-                self.desk._holding.setdefault(
+                self.desk._held_permits.setdefault(
                     granted.ask_id,
-                    dataclasses.replace(self.desk._holding["0"], held=granted),
+                    dataclasses.replace(
+                        self.desk._held_permits["0"], held=granted
+                    ),
                 )
 
         self.desk._send = answering
-        self.desk._names_at = 0.0
+        self.desk._live_names_at = 0.0
         self.desk._tick(time.monotonic())
 
     async def test_granted_and_released(self) -> None:
-        grant = await self.desk.acquire(ask("1"))
+        grant = await self.desk.acquire(permit_request("1"))
         self.assertEqual(grant, Grant("1", "pool/0", "s"))
-        self.assertEqual(self.instances.held(self.instances.owner), 1)
+        self.assertEqual(self.instances.held(self.instances.broker_name), 1)
         self.desk.release(release("1"))
-        self.assertEqual(self.instances.held(self.instances.owner), 0)
-
-    async def test_former_broker_keeps_nothing(self) -> None:
-        # The owner leaves the view for a while and comes back. The permit is
-        # told to the new broker and taken from the former one; else its slot
-        # would be taken there for ever (it was once).
-        first = self.instances.owner
-        await self.desk.acquire(ask("1"))
+        self.assertEqual(self.instances.held(self.instances.broker_name), 0)
+
+    async def test_former_broker_releases_permit(self) -> None:
+        # The broker's instance leaves the membership and returns. The permit
+        # must be reported to the new broker and released at the former one;
+        # otherwise its slot stays occupied there for ever.
+        first = self.instances.broker_name
+        await self.desk.acquire(permit_request("1"))
         self.instances.down.add(first)
         await anyio.sleep(0.15)
         self.desk._tick(0.0)
-        second = self.instances.owner
+        second = self.instances.broker_name
         self.assertNotEqual(first, second)
         self.assertEqual(self.instances.held(first), 0)
         self.assertEqual(self.instances.held(second), 1)
@@ -191,49 +193,49 @@
         self.desk.release(release("1"))
         self.assertEqual(self.instances.held(first), 0)
 
-    async def test_new_session_forgets_lost_releases(self) -> None:
-        # A release is lost with the connection. The next session tells what
-        # is held, and the broker frees what is not told.
-        owner = self.instances.owner
-        await self.desk.acquire(ask("1"))
-        await self.desk.acquire(ask("2"))
-        self.assertEqual(self.instances.held(owner), 2)
-        self.desk._holding.pop("1")
-        host = self.instances.hosts[owner]
-        self.instances.connect(self.entry, owner, host)
-        self.desk.on_link_up(owner)
-        self.assertEqual(self.instances.held(owner), 1)
-
-    async def test_silent_broker_and_its_late_grant(self) -> None:
-        # The broker hears and does not answer. The desk grants from its own
-        # share. The broker's grant comes late, for a request that is over;
-        # the desk gives the slot back (once it named no cell, and the slot
-        # stayed taken).
-        owner = self.instances.owner
-        await self.desk.acquire(ask("0"))
+    async def test_new_session_frees_lost_releases(self) -> None:
+        # A release is lost with the connection. The next session lists the
+        # permits held, and the broker must free the slots of all others.
+        broker_name = self.instances.broker_name
+        await self.desk.acquire(permit_request("1"))
+        await self.desk.acquire(permit_request("2"))
+        self.assertEqual(self.instances.held(broker_name), 2)
+        self.desk._held_permits.pop("1")
+        host = self.instances.hosts[broker_name]
+        self.instances.connect(self.entry, broker_name, host)
+        self.desk.on_link_up(broker_name)
+        self.assertEqual(self.instances.held(broker_name), 1)
+
+    async def test_unresponsive_broker_and_late_grant(self) -> None:
+        # The broker receives frames but does not answer, so the instance
+        # grants from its own share. The broker's grant arrives after the
+        # request has ended and must be released; without the cell in the
+        # release, the slot stayed occupied.
+        broker_name = self.instances.broker_name
+        await self.desk.acquire(permit_request("0"))
         self.desk.release(release("0"))
-        self.instances.silent.add(owner)
+        self.instances.silent.add(broker_name)
         async with anyio.create_task_group() as group:
             group.start_soon(self.desk.run)
-            grant = await self.desk.acquire(ask("1"))
+            grant = await self.desk.acquire(permit_request("1"))
             self.assertIsInstance(grant, Grant)
             group.cancel_scope.cancel()
         self.desk.release(release("1"))
         self.instances.silent.clear()
-        self.instances.hosts[owner].take(
-            EntryFrame(self.entry, "1", [ask("1")], [], [], [])
+        self.instances.hosts[broker_name].take(
+            EntryFrame(self.entry, "1", [permit_request("1")], [], [], [])
         )
-        self.assertEqual(self.instances.held(owner), 0)
+        self.assertEqual(self.instances.held(broker_name), 0)
 
-    async def test_cell_that_is_gone(self) -> None:
-        # The manifest takes the pool away while a request waits for it. The
-        # request is refused; it would ask for ever otherwise.
+    async def test_removed_cell(self) -> None:
+        # The manifest removes the pool while a request waits for a permit.
+        # The request must be refused; otherwise it is requested for ever.
         for ask_id in ("1", "2"):
-            await self.desk.acquire(ask(ask_id))
+            await self.desk.acquire(permit_request(ask_id))
         results: list[Refusal] = []
 
         async def wait() -> None:
-            results.append(await self.desk.acquire(ask("3")))
+            results.append(await self.desk.acquire(permit_request("3")))
 
         async with anyio.create_task_group() as group:
             group.start_soon(wait)
@@ -245,7 +247,7 @@
                 while not results:
                     await anyio.sleep(0.01)
         self.assertEqual(results[0].reason, "no_server")
-        refusal = await self.desk.acquire(ask("4"))
+        refusal = await self.desk.acquire(permit_request("4"))
         self.assertEqual(refusal.reason, "no_server")
 
 
