--- a/src/jasminerelay/answerkit.py
+++ b/src/jasminerelay/answerkit.py
@@ -1,4 +1,4 @@
-"""What an answer is made with, and the frames that it is made of."""
+"""Dependencies and data types of answers to model requests."""
 
 import dataclasses
 from collections.abc import Callable
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """What the manifest says about a request.
+    """Manifest entries that apply to a model request.
 
     Attributes:
-        organisation: Who sent it.
-        kind: Its request type.
-        service_class: Its service class.
-        pool: Pool that serves its model.
-        waited_s: Seconds since the first try, by a return ticket.
+        organisation: Organisation that sent the request.
+        kind: Request type.
+        service_class: Service class of the request type.
+        pool: Pool that serves the model.
+        waited_s: Seconds since the first attempt, from the return ticket.
     """
 
     organisation: Organisation
@@ -40,13 +40,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Piece:
-    """One frame of the answer as the caller gets it.
+class AnswerEvent:
+    """One server-sent event of an answer.
 
     Attributes:
-        data: JSON object, under the request's own identity.
-        point: Resume point after this frame, or empty.
-        usage_only: Whether it holds nothing but usage counts.
+        data: JSON object with the relay's ID for the request.
+        point: Resume point after this event, or empty.
+        usage_only: Whether it holds only usage counts.
     """
 
     data: dict[str, Any]
@@ -56,20 +56,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Kit:
-    """The parts of an instance that answers are made with.
+    """Components of an instance that answers depend on.
 
     Attributes:
-        desk: Gets permits.
-        engines: Streams from model engines.
+        desk: Acquires permits.
+        engines: Client of the model engines.
         signer: Signs resume points and return tickets.
-        book: What the burn report is made of.
+        book: Records samples for the burn report.
         counters: Counters of the instance.
-        invariants: Takes violations.
-        timing: Time limits.
-        estimator: Lengths of finished answers.
-        retries: Budget of all retries.
-        on_leaving: Takes the name of a backend server that is leaving.
-        spawn: Runs something beside the request.
+        invariants: Reports invariant violations.
+        timing: Timeouts.
+        estimator: Estimates answer lengths from completed answers.
+        retries: Retry budget of the instance.
+        on_leaving: Called with the name of a backend server that is leaving.
+        spawn: Runs a function in the background, independent of the request.
     """
 
     desk: PermitDesk
--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -1,4 +1,4 @@
-"""The answer to one model request, from the permit to the last token."""
+"""Serves one model request, from the permit to the last token."""
 
 import secrets
 import time
@@ -11,7 +11,7 @@
 import msgspec
 
 from jasminerelay import burn
-from jasminerelay.answerkit import Kit, Piece, Placement
+from jasminerelay.answerkit import AnswerEvent, Kit, Placement
 from jasminerelay.backends import (
     Attempt,
     AttemptError,
@@ -44,7 +44,7 @@
 RESUME_PAUSE_S = 0.05
 ID_BYTES = 12
 DIGEST_CHARS = 16
-"""Part of the request's digest in a resume point, which is signed."""
+"""Length of the request digest's prefix in the signed resume point."""
 
 WASTE_REDONE = "redone"
 WASTE_DROPPED = "dropped"
@@ -55,241 +55,250 @@
     """The answer to one model request.
 
     Attributes:
-        outcome: State of the request.
+        outcome: State machine of the request.
     """
 
     def __init__(self, kit: Kit, request: ModelRequest, placement: Placement):
-        self._kit = kit
+        self._context = kit
         self._request = request
         self._placement = placement
         self._id = f"{_id_prefix(request.path)}-{_new_id()}"
         self._arrived = time.monotonic()
         self._created = int(time.time())
-        self._estimate_kind = (
+        self._estimate_key = (
             f"{placement.service_class.name}/{request.body['model']}"
         )
         self._text = ""
-        self._delivered = 0
+        self._delivered_tokens = 0
         self._prompt_tokens = 0
         self._first_token_s = 0.0
         self._last_token_at = 0.0
-        self._wasted: dict[str, int] = {}
-        self._limit_taken = 0.0
+        self._wasted_tokens: dict[str, int] = {}
+        self._tokens_taken = 0.0
         self._finished = False
         self._preemptions = 0
-        self._warm_server = ""
+        self._preempted_on = ""
         self.outcome = Outcome(self._id)
 
-    async def pieces(self) -> AsyncIterator[Piece]:
-        """Yields the whole answer.
+    async def events(self) -> AsyncIterator[AnswerEvent]:
+        """Yields the answer event by event.
 
         Raises:
-            RelayError: if there is no answer, or no whole one.
+            RelayError: if the request fails before the answer is complete.
         """
         try:
-            await self._admit()
-            async with aclosing(self._attempts()) as pieces:
-                async for piece in pieces:
-                    yield piece
-            self._complete()
+            await self._take_rate_limit_tokens()
+            async with aclosing(self._attempt_events()) as events:
+                async for event in events:
+                    yield event
+            self._record_completion()
         except InvariantError as exc:
-            self._kit.invariants.violated(exc)
+            self._context.invariants.violated(exc)
             raise
         except RelayError as exc:
-            self._end_with(exc)
+            self._record_error(exc)
             raise
         finally:
-            if self._limit_taken:
-                self._kit.desk.settle(
+            if self._tokens_taken:
+                self._context.desk.settle(
                     self._placement.organisation,
-                    self._limit_taken,
-                    self._delivered,
+                    self._tokens_taken,
+                    self._delivered_tokens,
                 )
             if not self.outcome.final:
-                self._caller_gone()
+                self._record_disconnect()
 
-    async def _admit(self) -> None:
-        work = self._work()
-        loan = await self._kit.desk.take_tokens(
+    async def _take_rate_limit_tokens(self) -> None:
+        work = self._estimated_tokens()
+        loan = await self._context.desk.take_tokens(
             self._placement.organisation, work
         )
         if loan is not None:
             raise LimitError(
                 f"organisation {self._placement.organisation.name!r} has"
-                " reached its limit of tokens a second",
+                " reached its rate limit in tokens per second",
                 retry_s=loan.retry_s,
             )
-        self._limit_taken = work
+        self._tokens_taken = work
 
-    async def _attempts(self) -> AsyncIterator[Piece]:
+    async def _attempt_events(self) -> AsyncIterator[AnswerEvent]:
         avoid: list[str] = []
         failures = 0
         while True:
-            ask = self._ask(avoid)
-            grant = await self._permit(ask)
-            server = self._server(grant.server)
-            attempt = self._attempt(server)
+            permit_request = self._new_permit_request(avoid)
+            grant = await self._acquire_permit(permit_request)
+            server = self._find_server(grant.server)
+            attempt = self._new_attempt(server)
             self.outcome.dispatched()
-            tokens_before = self._delivered
+            tokens_before = self._delivered_tokens
             error: AttemptError | None = None
             try:
-                chunks = self._kit.engines.run(attempt)
-                stream = self._with_resumes(attempt, chunks, tokens_before)
-                async with aclosing(stream) as pieces:
-                    async for piece in pieces:
-                        yield piece
-                        if self._makes_way(ask, server):
+                chunks = self._context.engines.run(attempt)
+                stream = self._events_with_resumes(
+                    attempt, chunks, tokens_before
+                )
+                async with aclosing(stream) as events:
+                    async for event in events:
+                        yield event
+                        if self._check_preempted(permit_request, server):
                             break
                     else:
                         self._finished = True
             except AttemptError as exc:
                 error = exc
             finally:
-                computed = self._delivered - tokens_before
-                # A server that leaves is not ill; resting it would outlast
-                # its return.
+                new_tokens = self._delivered_tokens - tokens_before
+                # A leaving server is not faulty; a failure backoff could
+                # outlast its return.
                 failed = error is not None and not error.leaving
-                self._release(ask, computed, failed=failed)
+                self._release(permit_request, new_tokens, failed=failed)
                 if not self._finished:
-                    # The caller has gone, or another engine takes over.
-                    # Without a word this one would work on for nobody.
-                    self._kit.spawn(
-                        self._kit.engines.cancel, server, attempt.id
+                    # The caller has disconnected, or another engine continues
+                    # the answer. Without a cancellation this engine would go
+                    # on computing an answer that is not used.
+                    self._context.spawn(
+                        self._context.engines.cancel, server, attempt.id
                     )
             if self._finished:
                 return
             if error is not None:
                 failures += 1
-                self._judge(error, server, failures)
+                self._handle_failure(error, server, failures)
                 avoid.append(server.name)
-            if self._delivered >= self._limit:
-                # Only the end was missing, and no engine can be asked for
-                # no tokens at all.
-                yield self._cut_at_limit()
+            if self._delivered_tokens >= self._token_limit:
+                # Only the end of the stream is missing, and engines reject a
+                # request for zero tokens.
+                yield self._length_limit_event()
                 return
 
-    async def _permit(self, ask: Ask) -> Grant:
+    async def _acquire_permit(self, permit_request: Ask) -> Grant:
         self.outcome.waiting()
-        result = await self._kit.desk.acquire(ask)
+        result = await self._context.desk.acquire(permit_request)
         if isinstance(result, Refusal):
-            raise self._no_room(result)
+            raise self._refusal_error(result)
         return result
 
-    async def _with_resumes(
-        self, attempt: Attempt, chunks: AsyncIterator[Chunk], base: int
-    ) -> AsyncIterator[Piece]:
-        """Yields an attempt's pieces, over breaks that its engine mends.
+    async def _events_with_resumes(
+        self, attempt: Attempt, chunks: AsyncIterator[Chunk], base_tokens: int
+    ) -> AsyncIterator[AnswerEvent]:
+        """Yields an attempt's events, resuming the stream when it breaks.
 
         Args:
             attempt: The attempt.
-            chunks: Its frames, from the start or from a resume.
-            base: Tokens that the caller had before the attempt.
+            chunks: Chunks of its stream, from the start or from a resume.
+            base_tokens: Tokens delivered to the caller before the attempt.
         """
-        word = self._point_word(attempt, base)
+        resume_token = self._resume_token(attempt, base_tokens)
         for number in range(MAX_RESUMES + 1):
             try:
                 async with aclosing(chunks) as frames:
                     async for chunk in frames:
-                        piece = self._piece(chunk, base, word)
-                        if piece is not None:
-                            yield piece
+                        event = self._event_of(chunk, base_tokens, resume_token)
+                        if event is not None:
+                            yield event
                 return
             except AttemptError as exc:
-                mendable = (
+                can_resume = (
                     attempt.server.resume
                     and exc.proof is Proof.MAY_HAVE_RUN
                     and number < MAX_RESUMES
                 )
-                if not mendable:
+                if not can_resume:
                     raise
-                self._kit.counters.incr("stream.resumed")
+                self._context.counters.incr("stream.resumed")
                 await anyio.sleep(RESUME_PAUSE_S * 2**number)
-                chunks = self._kit.engines.resume(
-                    attempt, self._delivered - base
+                chunks = self._context.engines.resume(
+                    attempt, self._delivered_tokens - base_tokens
                 )
 
-    def _piece(self, chunk: Chunk, base: int, word: str) -> Piece | None:
+    def _event_of(
+        self, chunk: Chunk, base_tokens: int, resume_token: str
+    ) -> AnswerEvent | None:
         data = chunk.data
         usage = data.get("usage")
         choices = data.get("choices") or []
         if usage and not self._prompt_tokens:
-            self._prompt_tokens = usage.get("prompt_tokens", 0) - base
+            self._prompt_tokens = usage.get("prompt_tokens", 0) - base_tokens
         if not choices:
             if not usage:
                 return None
-            return Piece(self._usage_frame(), "", usage_only=True)
-        text = _text_of(choices[0])
-        offset = base + chunk.offset
-        if text and offset <= self._delivered:
-            # A frame that came late or twice; the caller has it.
-            self._kit.counters.incr("stream.duplicate_frames")
+            return AnswerEvent(self._usage_frame(), "", usage_only=True)
+        text = _choice_text(choices[0])
+        offset = base_tokens + chunk.offset
+        if text and offset <= self._delivered_tokens:
+            # A late or duplicate frame, already delivered to the caller.
+            self._context.counters.incr("stream.duplicate_frames")
             return None
         if text:
-            self._note_token(offset)
+            self._on_token(offset)
             self._text += text
         if choices[0].get("finish_reason"):
             self._finished = True
         data["id"] = self._id
         data["created"] = self._created
         data.pop("usage", None)
-        return Piece(data, f"{word}:{self._delivered}")
+        return AnswerEvent(data, f"{resume_token}:{self._delivered_tokens}")
 
-    def _note_token(self, offset: int) -> None:
+    def _on_token(self, offset: int) -> None:
         self.outcome.streaming()
         now = time.monotonic()
         if not self._first_token_s:
             self._first_token_s = now - self._arrived
         self._last_token_at = now
-        self._delivered = offset
+        self._delivered_tokens = offset
 
-    def _makes_way(self, ask: Ask, server: Server) -> bool:
-        """Returns whether the permit was taken back for a higher rank.
+    def _check_preempted(self, permit_request: Ask, server: Server) -> bool:
+        """Returns whether the permit was revoked; records the preemption.
 
-        The engine's prefix cache still has the prompt and what was
-        computed, so going on there later costs little.
+        The engine's prefix cache still holds the prompt and the computed
+        tokens, so continuing on the same server later costs little.
         """
-        if self._finished or not self._kit.desk.is_revoked(ask.ask_id):
+        if self._finished or not self._context.desk.is_revoked(
+            permit_request.ask_id
+        ):
             return False
-        self._kit.counters.incr("permit.made_way")
+        self._context.counters.incr("permit.made_way")
         self._preemptions += 1
-        self._warm_server = server.name
+        self._preempted_on = server.name
         return True
 
-    def _judge(
+    def _handle_failure(
         self, error: AttemptError, server: Server, failures: int
     ) -> None:
-        """Decides what follows a failed attempt; raises if nothing does."""
-        self._kit.counters.incr(f"attempt.{error.proof.value}")
+        """Returns if the request may be retried, else raises."""
+        self._context.counters.incr(f"attempt.{error.proof.value}")
         if error.leaving:
-            self._kit.on_leaving(server.name)
+            self._context.on_leaving(server.name)
         if error.proof is Proof.NOT_RUN:
             self.outcome.refused()
         if error.rejected is not None:
-            raise _rejected(error)
-        spent = self._kit.retries.spend()
-        if failures >= MAX_ATTEMPTS or not spent:
-            self._kit.counters.incr("retry.exhausted")
-            raise self._broken(error)
-        if self._delivered:
-            # The next engine computes the prompt and these tokens again.
-            self._waste(WASTE_REDONE, self._delivered)
-
-    def _broken(self, error: AttemptError) -> RelayError:
+            raise _rejection_error(error)
+        may_retry = self._context.retries.spend()
+        if failures >= MAX_ATTEMPTS or not may_retry:
+            self._context.counters.incr("retry.exhausted")
+            raise self._retries_exhausted_error(error)
+        if self._delivered_tokens:
+            # The next engine has to prefill the prompt and these tokens again.
+            self._count_wasted(WASTE_REDONE, self._delivered_tokens)
+
+    def _retries_exhausted_error(self, error: AttemptError) -> RelayError:
         if not self.outcome.may_have_run:
             return NoRoomError(
-                f"no backend server took the request: {error}", retry_s=1.0
+                f"no backend server accepted the request: {error}", retry_s=1.0
             )
-        ran = RAN_YES if self._delivered else RAN_UNKNOWN
+        ran = RAN_YES if self._delivered_tokens else RAN_UNKNOWN
         return BackendError(
-            f"the backend server failed and no other took over: {error}",
+            f"the backend server failed and retries are exhausted: {error}",
             ran=ran,
             retry_s=1.0,
         )
 
-    def _complete(self) -> None:
+    def _record_completion(self) -> None:
         self.outcome.completed()
-        self._kit.retries.succeeded()
-        self._kit.estimator.observe(self._estimate_kind, self._delivered)
+        self._context.retries.succeeded()
+        self._context.estimator.observe(
+            self._estimate_key, self._delivered_tokens
+        )
         cls = self._placement.service_class
         latency = self._first_token_s
         if cls.measure == "complete":
@@ -297,10 +306,10 @@
         latency += self._placement.waited_s
         self._record(burn.ENDED_COMPLETED, latency <= cls.target_s, latency)
 
-    def _end_with(self, exc: RelayError) -> None:
+    def _record_error(self, exc: RelayError) -> None:
         if self.outcome.state is State.ACCEPTED:
             self.outcome.not_run()
-        elif self.outcome.may_have_run or self._delivered:
+        elif self.outcome.may_have_run or self._delivered_tokens:
             if exc.ran == RAN_UNKNOWN:
                 self.outcome.unknown()
             else:
@@ -308,23 +317,23 @@
         else:
             self.outcome.not_run()
         if isinstance(exc, LimitError):
-            self._kit.counters.incr("limit.refused")
+            self._context.counters.incr("limit.refused")
             return
         if self.outcome.state is State.NOT_RUN:
-            # A request of an organisation's own fault is no miss.
+            # Errors caused by the caller do not count against the target.
             if exc.status >= 500:
                 self._record(burn.ENDED_REFUSED, False, 0.0)
             return
-        self._waste(WASTE_DROPPED, self._delivered)
+        self._count_wasted(WASTE_DROPPED, self._delivered_tokens)
         ended = burn.ENDED_FAILED
         if self.outcome.state is State.UNKNOWN:
             ended = burn.ENDED_UNKNOWN
         self._record(ended, False, 0.0)
 
-    def _caller_gone(self) -> None:
-        self._kit.counters.incr("caller.gone")
-        if self._delivered:
-            self._waste(WASTE_CANCELLED, self._delivered)
+    def _record_disconnect(self) -> None:
+        self._context.counters.incr("caller.gone")
+        if self._delivered_tokens:
+            self._count_wasted(WASTE_CANCELLED, self._delivered_tokens)
         waited = time.monotonic() - self._arrived
         cls = self._placement.service_class
         if self._first_token_s or waited > cls.target_s:
@@ -332,61 +341,67 @@
             self._record(burn.ENDED_FAILED, met, self._first_token_s)
 
     def _record(self, ended: str, met: bool, latency_s: float) -> None:
-        useful = self._delivered if ended == burn.ENDED_COMPLETED else 0
+        useful = self._delivered_tokens if ended == burn.ENDED_COMPLETED else 0
         sample = burn.Sample(
             self._placement.service_class.name,
             ended,
             met,
             latency_s,
             useful,
-            self._wasted,
+            self._wasted_tokens,
+        )
+        self._context.book.add(sample, time.monotonic())
+        self._context.counters.incr(f"request.{ended}")
+        self._context.counters.incr("tokens.useful", useful)
+        self._context.counters.incr(
+            "tokens.wasted", sum(self._wasted_tokens.values())
         )
-        self._kit.book.add(sample, time.monotonic())
-        self._kit.counters.incr(f"request.{ended}")
-        self._kit.counters.incr("tokens.useful", useful)
-        self._kit.counters.incr("tokens.wasted", sum(self._wasted.values()))
 
-    def _waste(self, cause: str, tokens: int) -> None:
+    def _count_wasted(self, cause: str, tokens: int) -> None:
         if tokens:
-            self._wasted[cause] = self._wasted.get(cause, 0) + tokens
+            self._wasted_tokens[cause] = (
+                self._wasted_tokens.get(cause, 0) + tokens
+            )
 
-    def _no_room(self, refusal: Refusal) -> RelayError:
-        if self._delivered:
+    def _refusal_error(self, refusal: Refusal) -> RelayError:
+        if self._delivered_tokens:
             return BackendError(
-                "the backend server failed and no other has room",
+                "the backend server failed and no other has capacity",
                 ran=RAN_YES,
                 retry_s=refusal.retry_s,
             )
         if self.outcome.may_have_run:
             return BackendError(
-                "the backend server failed and no other has room",
+                "the backend server failed and no other has capacity",
                 ran=RAN_UNKNOWN,
                 retry_s=refusal.retry_s,
             )
         waited = time.monotonic() - self._arrived + self._placement.waited_s
-        ticket = self._kit.signer.ticket(
+        ticket = self._context.signer.ticket(
             self._placement.organisation.name,
             self._placement.kind.name,
             time.time() - waited,
         )
         return NoRoomError(
-            f"no permit: {refusal.reason}",
+            f"no backend server slot was granted: {refusal.reason}",
             retry_s=refusal.retry_s,
             ticket=ticket,
         )
 
-    def _ask(self, avoid: list[str]) -> Ask:
+    def _new_permit_request(self, avoid: list[str]) -> Ask:
         cls = self._placement.service_class
         prefixes = block_hashes(self._request.prompt)
         organisation = self._placement.organisation
-        cell = self._kit.desk.choose_cell(
+        cell = self._context.desk.choose_cell(
             self._placement.pool, organisation.name, prefixes
         )
         waited = time.monotonic() - self._arrived
-        # A request whose answer broke off has used engine time already; to
-        # refuse it now would waste that, so it keeps its place and its time.
+        # A request with a partial answer has already used engine time. A
+        # refusal would waste that, so it keeps the full maximum wait.
         max_wait = (
-            cls.max_wait_s if self._delivered else cls.max_wait_s - waited
+            cls.max_wait_s
+            if self._delivered_tokens
+            else cls.max_wait_s - waited
         )
         return Ask(
             uuid.uuid4().hex,
@@ -394,84 +409,94 @@
             cls.rank,
             organisation.name,
             organisation.weight,
-            max(1.0, self._work() - self._delivered),
+            max(1.0, self._estimated_tokens() - self._delivered_tokens),
             waited + self._placement.waited_s,
             max(0.0, max_wait),
             cls.target_s,
             cls.floor_share,
             cls.leave_free,
             cls.protected,
-            self._delivered > 0,
+            self._delivered_tokens > 0,
             cls.preemptible and self._preemptions < MAX_PREEMPTIONS,
             list(prefixes),
             avoid if len(avoid) < len(cell.servers) else [],
-            self._warm_server,
+            self._preempted_on,
         )
 
     @property
-    def _limit(self) -> int:
-        """Most tokens that the answer may have."""
+    def _token_limit(self) -> int:
+        """Maximum tokens of the answer."""
         return min(self._request.max_tokens, self._placement.kind.max_tokens)
 
-    def _cut_at_limit(self) -> Piece:
+    def _length_limit_event(self) -> AnswerEvent:
         self._finished = True
         choice: dict[str, Any] = {"index": 0, "finish_reason": "length"}
         if self._request.path == CHAT_PATH:
             choice["delta"] = {}
         else:
             choice["text"] = ""
-        return Piece({**self._frame_head(), "choices": [choice]}, "")
+        return AnswerEvent({**self._frame_head(), "choices": [choice]}, "")
 
-    def _work(self) -> float:
-        return self._kit.estimator.tokens(self._estimate_kind, self._limit)
+    def _estimated_tokens(self) -> float:
+        return self._context.estimator.tokens(
+            self._estimate_key, self._token_limit
+        )
 
-    def _server(self, name: str) -> Server:
+    def _find_server(self, name: str) -> Server:
         for server in self._placement.pool.servers:
             if server.name == name:
                 return server
-        raise BackendError(f"granted unknown backend server {name!r}")
+        raise BackendError(f"permit names unknown backend server {name!r}")
 
-    def _attempt(self, server: Server) -> Attempt:
+    def _new_attempt(self, server: Server) -> Attempt:
         body = dict(self._request.body)
         body["stream"] = True
         body["stream_options"] = {"include_usage": True}
         key = "max_tokens"
         if "max_completion_tokens" in body:
             key = "max_completion_tokens"
-        body[key] = self._limit - self._delivered
+        body[key] = self._token_limit - self._delivered_tokens
         if server.priorities:
             body["priority"] = self._placement.service_class.rank
-        if self._delivered:
+        if self._delivered_tokens:
             _continue_from(body, self._request.path, self._text)
         return Attempt(
             _new_id(),
             server,
             self._request.path,
             msgspec.json.encode(body),
-            self._kit.timing.first_byte_timeout_s,
-            self._kit.timing.token_timeout_s,
+            self._context.timing.first_byte_timeout_s,
+            self._context.timing.token_timeout_s,
         )
 
-    def _point_word(self, attempt: Attempt, base: int) -> str:
-        return self._kit.signer.stream_word(
+    def _resume_token(self, attempt: Attempt, base_tokens: int) -> str:
+        return self._context.signer.stream_word(
             ResumePoint(
                 self._placement.organisation.name,
                 self._request.digest[:DIGEST_CHARS],
                 attempt.server.name,
                 attempt.id,
                 self._id,
-                base,
+                base_tokens,
                 0,
             )
         )
 
-    def _release(self, ask: Ask, tokens: int, *, failed: bool) -> None:
+    def _release(
+        self, permit_request: Ask, tokens: int, *, failed: bool
+    ) -> None:
         step_s = 0.0
         if tokens > 1:
             span = self._last_token_at - self._arrived - self._first_token_s
             step_s = max(0.0, span / (tokens - 1))
-        self._kit.desk.release(
-            Release(ask.ask_id, ask.cell, tokens, failed, step_s)
+        self._context.desk.release(
+            Release(
+                permit_request.ask_id,
+                permit_request.cell,
+                tokens,
+                failed,
+                step_s,
+            )
         )
 
     def _usage_frame(self) -> dict[str, Any]:
@@ -489,16 +514,16 @@
         }
 
     def usage(self) -> dict[str, int]:
-        """Returns the token counts of the whole answer."""
+        """Returns the token counts of the answer."""
         return {
             "prompt_tokens": self._prompt_tokens,
-            "completion_tokens": self._delivered,
-            "total_tokens": self._prompt_tokens + self._delivered,
+            "completion_tokens": self._delivered_tokens,
+            "total_tokens": self._prompt_tokens + self._delivered_tokens,
         }
 
 
 def _new_id() -> str:
-    """Returns a short random identity; resume points carry two of them."""
+    """Returns a random ID; kept short as resume points carry two of them."""
     return secrets.token_urlsafe(ID_BYTES)
 
 
@@ -506,7 +531,7 @@
     return "chatcmpl" if path == CHAT_PATH else "cmpl"
 
 
-def _text_of(choice: dict[str, Any]) -> str:
+def _choice_text(choice: dict[str, Any]) -> str:
     delta = choice.get("delta")
     if delta is not None:
         return delta.get("content") or ""
@@ -514,7 +539,7 @@
 
 
 def _continue_from(body: dict[str, Any], path: str, text: str) -> None:
-    """Asks an engine to go on after the text that the caller has."""
+    """Changes a request body so that the engine continues the given text."""
     if path == TEXT_PATH:
         body["prompt"] += text
         return
@@ -526,7 +551,7 @@
     body["continue_final_message"] = True
 
 
-def _rejected(error: AttemptError) -> BadRequestError:
+def _rejection_error(error: AttemptError) -> BadRequestError:
     try:
         body = msgspec.json.decode(error.rejected.body)
         message = str(body["error"]["message"])
--- a/src/jasminerelay/completions.py
+++ b/src/jasminerelay/completions.py
@@ -10,14 +10,14 @@
 
 
 class Completions:
-    """Serves model requests; one for each instance."""
+    """Creates the answers to all model requests at one instance."""
 
     def __init__(self, kit: Kit):
-        self._kit = kit
+        self._context = kit
 
     def start(self, request: ModelRequest, placement: Placement) -> Answer:
-        """Returns the answer to a new request; iterate its pieces."""
-        return Answer(self._kit, request, placement)
+        """Returns the answer to a new request; iterate its `events`."""
+        return Answer(self._context, request, placement)
 
     def resume(
         self,
@@ -26,12 +26,15 @@
         point: ResumePoint,
         directory: Directory,
     ) -> ResumedAnswer:
-        """Returns the rest of a stream that another instance began.
+        """Returns the remaining part of a stream that another instance began.
 
         Raises:
-            ResumeGoneError: if its backend server is not in the manifest.
+            ResumeGoneError: if the stream's backend server is not in the
+                manifest or does not support resuming.
         """
         server = directory.servers.get(point.server)
         if server is None or not server.resume:
-            raise ResumeGoneError("the stream's backend server is gone")
-        return ResumedAnswer(self._kit, request, placement, point, server)
+            raise ResumeGoneError(
+                "the stream's backend server was removed or cannot resume"
+            )
+        return ResumedAnswer(self._context, request, placement, point, server)
--- a/src/jasminerelay/modelrequests.py
+++ b/src/jasminerelay/modelrequests.py
@@ -1,4 +1,4 @@
-"""Reads and checks the bodies of model requests."""
+"""Parses and validates the bodies of model requests."""
 
 import dataclasses
 from typing import Any
@@ -14,16 +14,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class ModelRequest:
-    """A checked model request.
+    """A validated model request.
 
     Attributes:
         path: Endpoint path.
         body: Decoded body.
-        digest: Digest of the body's text.
-        stream: Whether the caller wants a stream.
-        wants_usage: Whether the stream shall end with usage counts.
-        prompt: Text of the prompt, for prefix hashes and estimates.
-        max_tokens: Most tokens of the answer.
+        digest: Digest of the raw body.
+        stream: Whether the caller requests a stream.
+        wants_usage: Whether the stream should end with usage counts.
+        prompt: Text of the prompt, for prefix hashes.
+        max_tokens: Maximum tokens of the answer; `NO_LIMIT` if not given.
     """
 
     path: str
@@ -36,10 +36,10 @@
 
 
 def parse_request(path: str, raw: bytes, digest: str) -> ModelRequest:
-    """Checks a request body.
+    """Parses a request body.
 
     Raises:
-        BadRequestError: naming the field at fault and its remedy.
+        BadRequestError: if a field is invalid; names it and the remedy.
     """
     try:
         body = msgspec.json.decode(raw)
@@ -53,8 +53,8 @@
         )
     if not isinstance(body.get("model"), str):
         raise BadRequestError(
-            "'model' is missing or no string",
-            remedy="Name a model of GET /v1/models.",
+            "'model' is missing or not a string",
+            remedy="Name a model listed by GET /v1/models.",
         )
     if body.get("n", 1) != 1:
         raise BadRequestError(
@@ -63,14 +63,14 @@
     stream = body.get("stream") or False
     if not isinstance(stream, bool):
         raise BadRequestError(
-            "'stream' is no boolean", remedy="Send true or false."
+            "'stream' is not a boolean", remedy="Send true or false."
         )
     options = body.get("stream_options") or {}
     if not isinstance(options, dict):
         raise BadRequestError(
-            "'stream_options' is no object", remedy="Send an object."
+            "'stream_options' is not an object", remedy="Send an object."
         )
-    prompt = _chat_text(body) if path == CHAT_PATH else _plain_text(body)
+    prompt = _chat_prompt(body) if path == CHAT_PATH else _text_prompt(body)
     return ModelRequest(
         path,
         body,
@@ -82,18 +82,18 @@
     )
 
 
-def _chat_text(body: dict[str, Any]) -> str:
+def _chat_prompt(body: dict[str, Any]) -> str:
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
         raise BadRequestError(
-            "'messages' is missing, empty or no list",
+            "'messages' is missing, empty or not a list",
             remedy="Send a list of {role, content} objects.",
         )
     parts = []
     for index, message in enumerate(messages):
         if not isinstance(message, dict) or "role" not in message:
             raise BadRequestError(
-                f"'messages[{index}]' is no object with a role",
+                f"'messages[{index}]' is not an object with a role",
                 remedy="Send {role, content} objects.",
             )
         content = message.get("content")
@@ -103,11 +103,11 @@
     return "\n".join(parts)
 
 
-def _plain_text(body: dict[str, Any]) -> str:
+def _text_prompt(body: dict[str, Any]) -> str:
     prompt = body.get("prompt")
     if not isinstance(prompt, str):
         raise BadRequestError(
-            "'prompt' is missing or no string",
+            "'prompt' is missing or not a string",
             remedy="Send one prompt as a string.",
         )
     return prompt
@@ -120,8 +120,8 @@
             continue
         if not isinstance(value, int) or isinstance(value, bool) or value < 1:
             raise BadRequestError(
-                f"{key!r} is no whole number of at least 1",
-                remedy="Leave it out or send a positive whole number.",
+                f"{key!r} is not an integer of at least 1",
+                remedy="Omit it or send a positive whole number.",
             )
         return value
     return NO_LIMIT
--- a/src/jasminerelay/replies.py
+++ b/src/jasminerelay/replies.py
@@ -1,4 +1,4 @@
-"""How answers and errors go to callers: streams, whole bodies, headers."""
+"""HTTP responses to callers: event streams, JSON bodies and errors."""
 
 import dataclasses
 import math
@@ -10,7 +10,7 @@
 import msgspec
 from starlette.responses import JSONResponse, Response
 
-from jasminerelay.answers import Answer, Piece
+from jasminerelay.answers import Answer, AnswerEvent
 from jasminerelay.errors import NoRoomError, RelayError
 from jasminerelay.metrics import Counters
 from jasminerelay.modelrequests import CHAT_PATH, ModelRequest
@@ -22,7 +22,7 @@
 
 
 class Progress:
-    """Counts the requests in progress, for the bound and for the drain."""
+    """Bounds the requests in progress and counts them for draining."""
 
     def __init__(self, limit: int):
         self._limit = limit
@@ -41,13 +41,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReplyKit:
-    """What replies are made with.
+    """Components of an instance that responses depend on.
 
     Attributes:
-        counters: Counts answers.
-        bounds: Bounds on what a caller may hold.
+        counters: Counters of the instance.
+        bounds: Limits on callers' requests and connections.
         progress: Requests in progress on this instance.
-        watchdog: Ends writes to callers that do not read.
+        watchdog: Aborts writes to callers that do not read.
     """
 
     counters: Counters
@@ -57,7 +57,7 @@
 
 
 class AnswerResponse(Response):
-    """Runs an answer; stops it when the caller hangs up."""
+    """Runs an answer; cancels it when the caller disconnects."""
 
     def __init__(
         self,
@@ -66,90 +66,90 @@
         request: ModelRequest,
     ):
         super().__init__()
-        self._kit = kit
+        self._context = kit
         self._answer = answer
         self._request = request
 
     async def __call__(self, scope, receive, send) -> None:
-        """Serves the answer as an ASGI application."""
+        """Runs the response as an ASGI application."""
 
-        async def watch() -> None:
+        async def watch_disconnect() -> None:
             while (await receive())["type"] != "http.disconnect":
                 pass
             group.cancel_scope.cancel()
 
-        async def bounded(message) -> None:
-            guard.arm(self._kit.bounds.send_timeout_s)
+        async def send_with_timeout(message) -> None:
+            guard.arm(self._context.bounds.send_timeout_s)
             await send(message)
             guard.disarm()
 
-        def too_slow() -> None:
-            self._kit.counters.incr("caller.too_slow")
+        def on_send_timeout() -> None:
+            self._context.counters.incr("caller.too_slow")
             group.cancel_scope.cancel()
 
-        guard = self._kit.watchdog.guard(too_slow)
+        guard = self._context.watchdog.guard(on_send_timeout)
         try:
-            with self._kit.progress:
+            with self._context.progress:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(watch)
-                    await self._run(scope, receive, bounded)
+                    group.start_soon(watch_disconnect)
+                    await self._run(scope, receive, send_with_timeout)
                     group.cancel_scope.cancel()
         except* RelayError as errors:
             error = errors.exceptions[0]
-            self._kit.counters.incr(f"answer.{error.code}")
+            self._context.counters.incr(f"answer.{error.code}")
             await error_response(error)(scope, receive, send)
         finally:
-            self._kit.watchdog.release(guard)
+            self._context.watchdog.release(guard)
 
     async def _run(self, scope, receive, send) -> None:
         raise NotImplementedError
 
 
 class StreamResponse(AnswerResponse):
-    """An answer as server-sent events."""
+    """Sends an answer as server-sent events."""
 
     async def _run(self, scope, receive, send) -> None:
         del scope, receive
         started = False
         try:
-            async with aclosing(self._answer.pieces()) as pieces:
-                async for piece in pieces:
+            async with aclosing(self._answer.events()) as events:
+                async for event in events:
                     if not started:
                         started = True
                         await send(_STREAM_START)
-                    if not piece.usage_only or self._request.wants_usage:
-                        await send(_part(_event(piece)))
+                    if not event.usage_only or self._request.wants_usage:
+                        await send(_body_message(_encode_event(event)))
         except RelayError as exc:
             if not started:
                 raise
-            # The head is out, so the error comes as an event of its own; the
-            # missing [DONE] shows that the answer is not whole.
-            self._kit.counters.incr(f"stream.{exc.code}")
+            # The response headers are sent, so the error is sent as an event.
+            # The missing [DONE] marks the answer as incomplete.
+            self._context.counters.incr(f"stream.{exc.code}")
             data = msgspec.json.encode(error_body(exc))
-            await send(_part(b"data: " + data + b"\n\n", last=True))
+            await send(_body_message(b"data: " + data + b"\n\n", last=True))
             return
         if not started:
             await send(_STREAM_START)
-        await send(_part(b"data: [DONE]\n\n", last=True))
+        await send(_body_message(b"data: [DONE]\n\n", last=True))
 
 
 class WholeResponse(AnswerResponse):
-    """An answer as one JSON object."""
+    """Sends an answer as one JSON object."""
 
     async def _run(self, scope, receive, send) -> None:
-        assembled = _Assembled(self._request)
-        async with aclosing(self._answer.pieces()) as pieces:
-            async for piece in pieces:
-                assembled.add(piece)
-        body = assembled.body(self._answer.usage())
+        assembler = _AnswerAssembler(self._request)
+        async with aclosing(self._answer.events()) as events:
+            async for event in events:
+                assembler.add(event)
+        body = assembler.body(self._answer.usage())
         response = Response(
             msgspec.json.encode(body), media_type="application/json"
         )
         await response(scope, receive, send)
 
 
-class _Assembled:
-    """Puts the pieces of a stream together to a whole answer."""
+class _AnswerAssembler:
+    """Assembles a complete answer from the events of a stream."""
 
     def __init__(self, request: ModelRequest):
         self._chat = request.path == CHAT_PATH
@@ -159,10 +159,10 @@
         self._tool_calls: dict[int, dict[str, Any]] = {}
         self._finish: str | None = None
 
-    def add(self, piece: Piece) -> None:
-        """Adds a piece."""
-        self._head = self._head or piece.data
-        for choice in piece.data.get("choices") or []:
+    def add(self, event: AnswerEvent) -> None:
+        """Adds an event."""
+        self._head = self._head or event.data
+        for choice in event.data.get("choices") or []:
             delta = choice.get("delta") or {}
             text = delta.get("content") if self._chat else choice.get("text")
             if text:
@@ -172,7 +172,7 @@
             self._finish = choice.get("finish_reason") or self._finish
 
     def body(self, usage: dict[str, int]) -> dict[str, Any]:
-        """Returns the whole answer."""
+        """Returns the complete answer."""
         text = "".join(self._text)
         choice: dict[str, Any] = {"index": 0, "finish_reason": self._finish}
         if self._chat:
@@ -210,7 +210,7 @@
 
 
 def error_body(exc: RelayError) -> dict[str, Any]:
-    """Returns an error in the shape that OpenAI clients know."""
+    """Returns the response body of an error, in OpenAI's format."""
     return {
         "error": {
             "message": f"{exc.message}. {exc.remedy}",
@@ -224,7 +224,7 @@
 
 
 def error_response(exc: RelayError) -> Response:
-    """Returns the answer for an error."""
+    """Returns the response for an error."""
     headers = {RAN_HEADER: exc.ran}
     if exc.retry_s is not None:
         headers["retry-after"] = str(max(1, math.ceil(exc.retry_s)))
@@ -245,12 +245,12 @@
 }
 
 
-def _part(body: bytes, *, last: bool = False) -> dict[str, Any]:
+def _body_message(body: bytes, *, last: bool = False) -> dict[str, Any]:
     return {"type": "http.response.body", "body": body, "more_body": not last}
 
 
-def _event(piece: Piece) -> bytes:
-    data = msgspec.json.encode(piece.data)
-    if not piece.point:
+def _encode_event(event: AnswerEvent) -> bytes:
+    data = msgspec.json.encode(event.data)
+    if not event.point:
         return b"data: " + data + b"\n\n"
-    return b"id: %s\ndata: %s\n\n" % (piece.point.encode(), data)
+    return b"id: %s\ndata: %s\n\n" % (event.point.encode(), data)
--- a/src/jasminerelay/resumedanswers.py
+++ b/src/jasminerelay/resumedanswers.py
@@ -1,10 +1,10 @@
-"""The rest of an answer whose instance died, for a caller that came back."""
+"""Resumes an answer at another instance after the first has failed."""
 
 import uuid
 from collections.abc import AsyncIterator
 from contextlib import aclosing
 
-from jasminerelay.answerkit import Kit, Piece, Placement
+from jasminerelay.answerkit import AnswerEvent, Kit, Placement
 from jasminerelay.answers import Answer
 from jasminerelay.backends import Attempt, AttemptError
 from jasminerelay.errors import RAN_YES, BackendError, ResumeGoneError
@@ -15,7 +15,7 @@
 
 
 class ResumedAnswer(Answer):
-    """The rest of a stream whose instance died."""
+    """Remaining part of a stream whose first instance has failed."""
 
     def __init__(
         self,
@@ -26,17 +26,17 @@
         server: Server,
     ):
         super().__init__(kit, request, placement)
-        self._point = point
-        self._held_by = server
+        self._resume_point = point
+        self._stream_server = server
         self._id = point.request_id
-        self._delivered = point.offset
+        self._delivered_tokens = point.offset
 
-    async def _admit(self) -> None:
-        """The tokens were taken from the limit when the stream began."""
+    async def _take_rate_limit_tokens(self) -> None:
+        """Takes none: the first instance did when the stream began."""
 
-    async def _attempts(self) -> AsyncIterator[Piece]:
-        point = self._point
-        cell = self._cell()
+    async def _attempt_events(self) -> AsyncIterator[AnswerEvent]:
+        point = self._resume_point
+        cell = self._cell_name()
         held = Held(
             uuid.uuid4().hex,
             cell,
@@ -46,45 +46,47 @@
         )
         attempt = Attempt(
             point.attempt,
-            self._held_by,
+            self._stream_server,
             self._request.path,
             b"",
-            self._kit.timing.first_byte_timeout_s,
-            self._kit.timing.token_timeout_s,
+            self._context.timing.first_byte_timeout_s,
+            self._context.timing.token_timeout_s,
         )
-        self._kit.desk.adopt(held)
+        self._context.desk.adopt(held)
         self.outcome.waiting()
         self.outcome.dispatched()
         try:
-            chunks = self._kit.engines.resume(
+            chunks = self._context.engines.resume(
                 attempt, point.offset - point.base
             )
-            pieces = self._with_resumes(attempt, chunks, point.base)
-            async with aclosing(pieces):
-                async for piece in pieces:
-                    yield piece
+            events = self._events_with_resumes(attempt, chunks, point.base)
+            async with aclosing(events):
+                async for event in events:
+                    yield event
         except AttemptError as exc:
-            if self._delivered > point.offset:
+            if self._delivered_tokens > point.offset:
                 raise BackendError(
-                    f"the stream broke again: {exc}", ran=RAN_YES
+                    f"the resumed stream broke: {exc}", ran=RAN_YES
                 ) from exc
             raise ResumeGoneError(
                 f"the stream cannot be resumed: {exc}", ran=RAN_YES
             ) from exc
         finally:
-            self._kit.desk.release(
+            self._context.desk.release(
                 Release(
                     held.ask_id,
                     cell,
-                    self._delivered - point.offset,
+                    self._delivered_tokens - point.offset,
                     False,
                     0.0,
                 )
             )
 
-    def _cell(self) -> str:
-        directory_cells = self._kit.desk.cells_of(self._placement.pool)
+    def _cell_name(self) -> str:
+        directory_cells = self._context.desk.cells_of(self._placement.pool)
         for cell in directory_cells:
-            if any(item.name == self._point.server for item in cell.servers):
+            if any(
+                item.name == self._resume_point.server for item in cell.servers
+            ):
                 return cell.name
         return directory_cells[0].name
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -1,4 +1,4 @@
-"""Passes calls of plain services through, those that must not repeat once."""
+"""Forwards calls to plain services; non-repeatable calls run at most once."""
 
 import dataclasses
 import time
@@ -34,30 +34,30 @@
 MAX_ATTEMPTS = 4
 IDEMPOTENCY_HEADER = "idempotency-key"
 REPLAYED_HEADER = "x-replayed"
-_FORWARDED = ("content-type", "accept", "accept-language")
+_FORWARDED_HEADERS = ("content-type", "accept", "accept-language")
 CLAIM_MARGIN_S = 5.0
-"""Time between a claim and the start of its call, and clocks that differ."""
+"""Allowance for the delay from claim to dispatch and for clock skew."""
 
 CALL_WORK = 1.0
-"""Calls count alike; their servers do not work by tokens."""
+"""All calls count as the same work, since plain services use no tokens."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceRequest:
-    """A call as it arrived.
+    """A call of a plain service, as received.
 
     Attributes:
-        organisation: Who sent it.
-        service: Service that it names.
-        call: Declared call that it matches.
-        service_class: Class in which it is served.
+        organisation: Organisation that sent the call.
+        service: Service called.
+        call: Call in the manifest that it matches.
+        service_class: Service class of the call.
         method: HTTP method.
         path: Path within the service.
         query: Query string.
         headers: Header fields, names in lower case.
-        body: Body, whole.
+        body: Complete body.
         key: Idempotency key, or "".
-        waited_s: Seconds since the first try, by a return ticket.
+        waited_s: Seconds since the first attempt, from the return ticket.
     """
 
     organisation: Organisation
@@ -74,7 +74,7 @@
 
 
 class ServiceCalls:
-    """Serves calls of plain services; one for each instance."""
+    """Serves all calls of plain services at one instance."""
 
     def __init__(
         self,
@@ -88,10 +88,10 @@
         spawn: Callable[..., None],
         ticket: Callable[[str, str, float], str],
     ):
-        self._desk = desk
+        self._permits = desk
         self._services = services
         self._claims = claim_desk
-        self._book = book
+        self._burn_recorder = book
         self._counters = counters
         self._invariants = invariants
         self._on_leaving = on_leaving
@@ -100,45 +100,47 @@
         self._retries = RetryBudget()
 
     async def serve(self, request: ServiceRequest) -> Reply:
-        """Returns the answer of the service, or the recorded one.
+        """Returns the reply of the service, or the recorded one.
 
-        A call that may not repeat goes on if its caller hangs up, so that
-        its outcome is recorded for the repeat.
+        A non-repeatable call continues if its caller disconnects, so that
+        its outcome is recorded for a repeat.
 
         Raises:
-            RelayError: if there is no answer.
+            RelayError: if there is no reply.
         """
         if request.call.repeatable:
             return await self._run(request)
-        box: list[Reply | RelayError] = []
+        results: list[Reply | RelayError] = []
         done = anyio.Event()
 
         async def run() -> None:
             try:
-                box.append(await self._run(request))
+                results.append(await self._run(request))
             except RelayError as exc:
-                box.append(exc)
+                results.append(exc)
             finally:
                 done.set()
 
         self._spawn(run)
         await done.wait()
-        if not box:
-            raise BackendError("the instance stopped", ran=RAN_UNKNOWN)
-        if isinstance(box[0], RelayError):
-            raise box[0]
-        return box[0]
+        if not results:
+            raise BackendError(
+                "the instance stopped before the call ended", ran=RAN_UNKNOWN
+            )
+        if isinstance(results[0], RelayError):
+            raise results[0]
+        return results[0]
 
     async def _run(self, request: ServiceRequest) -> Reply:
         started = time.monotonic()
         outcome = Outcome(uuid.uuid4().hex, repeatable=request.call.repeatable)
         try:
-            reply = await self._attempts(request, outcome, started)
+            reply = await self._reply_with_retries(request, outcome, started)
         except InvariantError as exc:
             self._invariants.violated(exc)
             raise
         except RelayError as exc:
-            self._end_with(request, outcome, exc)
+            self._record_error(request, outcome, exc)
             raise
         latency = time.monotonic() - started + request.waited_s
         if not outcome.final:
@@ -147,31 +149,31 @@
         self._record(request, burn.ENDED_COMPLETED, latency)
         return reply
 
-    async def _attempts(
+    async def _reply_with_retries(
         self, request: ServiceRequest, outcome: Outcome, started: float
     ) -> Reply:
         acquired: Won | None = None
         avoid: list[str] = []
         while True:
-            ask = self._ask(request, avoid, started)
+            permit_request = self._new_permit_request(request, avoid, started)
             outcome.waiting()
             try:
-                grant = await self._desk.acquire(ask)
+                grant = await self._permits.acquire(permit_request)
             except BaseException:
-                await self._give_up(acquired, outcome)
+                await self._close_claim(acquired, outcome)
                 raise
             if isinstance(grant, Refusal):
-                await self._give_up(acquired, outcome)
-                raise self._no_room(request, outcome, grant, started)
-            server = _named(request.service, grant.server)
+                await self._close_claim(acquired, outcome)
+                raise self._refusal_error(request, outcome, grant, started)
+            server = _find_server(request.service, grant.server)
             failed = True
             try:
                 if acquired is None and _is_claimed(request):
-                    claimed = await self._claim(request)
-                    if isinstance(claimed, RecordedAnswer):
+                    claim_result = await self._acquire_claim(request)
+                    if isinstance(claim_result, RecordedAnswer):
                         failed = False
-                        return _replay(outcome, claimed)
-                    acquired = claimed
+                        return _replayed_reply(outcome, claim_result)
+                    acquired = claim_result
                 reply = await self._dispatch(request, server, outcome)
                 failed = False
                 if acquired is not None:
@@ -184,7 +186,7 @@
                 return reply
             except AttemptError as exc:
                 failed = not exc.leaving
-                await self._judge(
+                await self._handle_failure(
                     exc, request, server, outcome, acquired, avoid
                 )
                 avoid.append(server.name)
@@ -192,11 +194,19 @@
                 failed = False
                 raise
             finally:
-                self._desk.release(
-                    Release(ask.ask_id, ask.cell, CALL_WORK, failed, 0.0)
+                self._permits.release(
+                    Release(
+                        permit_request.ask_id,
+                        permit_request.cell,
+                        CALL_WORK,
+                        failed,
+                        0.0,
+                    )
                 )
 
-    async def _claim(self, request: ServiceRequest) -> Won | RecordedAnswer:
+    async def _acquire_claim(
+        self, request: ServiceRequest
+    ) -> Won | RecordedAnswer:
         key = claims.row_key(
             request.organisation.name, request.service.name, request.key
         )
@@ -212,7 +222,7 @@
     ) -> Reply:
         headers = {
             name: request.headers[name]
-            for name in _FORWARDED
+            for name in _FORWARDED_HEADERS
             if name in request.headers
         }
         headers["x-request-id"] = uuid.uuid4().hex
@@ -234,7 +244,7 @@
             ),
         )
 
-    async def _judge(
+    async def _handle_failure(
         self,
         error: AttemptError,
         request: ServiceRequest,
@@ -243,7 +253,7 @@
         acquired: Won | None,
         avoid: list[str],
     ) -> None:
-        """Returns if the call may be tried again, else raises."""
+        """Returns if the call may be retried, else raises."""
         self._counters.incr(f"attempt.{error.proof.value}")
         if error.leaving:
             self._on_leaving(server.name)
@@ -258,28 +268,30 @@
                 f"the service did not answer: {error}",
                 remedy=(
                     "Whether the call ran is unknown; look the result up at"
-                    " the service before you send it anew."
+                    " the service before sending it again."
                 ),
                 ran=RAN_UNKNOWN,
             )
         if len(avoid) + 1 >= MAX_ATTEMPTS or not self._retries.spend():
             self._counters.incr("retry.exhausted")
-            await self._give_up(acquired, outcome)
+            await self._close_claim(acquired, outcome)
             if outcome.may_have_run:
                 raise BackendError(
                     f"the service did not answer: {error}", ran=RAN_UNKNOWN
                 )
             raise NoRoomError(
-                f"no backend server took the call: {error}", retry_s=1.0
+                f"no backend server accepted the call: {error}", retry_s=1.0
             )
 
-    async def _give_up(self, acquired: Won | None, outcome: Outcome) -> None:
+    async def _close_claim(
+        self, acquired: Won | None, outcome: Outcome
+    ) -> None:
         if acquired is None:
             return
         state = claims.UNKNOWN if outcome.may_have_run else claims.NOT_RUN
         await self._claims.close_without_answer(acquired, state)
 
-    def _no_room(
+    def _refusal_error(
         self,
         request: ServiceRequest,
         outcome: Outcome,
@@ -288,13 +300,13 @@
     ) -> RelayError:
         if outcome.may_have_run:
             return BackendError(
-                "the service did not answer and no other server has room",
+                "the service did not answer and no other server has capacity",
                 ran=RAN_UNKNOWN,
                 retry_s=refusal.retry_s,
             )
         waited = time.monotonic() - started + request.waited_s
         return NoRoomError(
-            f"no permit: {refusal.reason}",
+            f"no backend server slot was granted: {refusal.reason}",
             retry_s=refusal.retry_s,
             ticket=self._ticket(
                 request.organisation.name,
@@ -303,12 +315,12 @@
             ),
         )
 
-    def _ask(
+    def _new_permit_request(
         self, request: ServiceRequest, avoid: list[str], started: float
     ) -> Ask:
         cls = request.service_class
         organisation = request.organisation
-        cell = self._desk.choose_cell(request.service, organisation.name, ())
+        cell = self._permits.choose_cell(request.service, organisation.name, ())
         waited = time.monotonic() - started
         return Ask(
             uuid.uuid4().hex,
@@ -330,7 +342,7 @@
             "",
         )
 
-    def _end_with(
+    def _record_error(
         self, request: ServiceRequest, outcome: Outcome, exc: RelayError
     ) -> None:
         if outcome.may_have_run:
@@ -350,7 +362,7 @@
         cls = request.service_class
         met = ended == burn.ENDED_COMPLETED and latency_s <= cls.target_s
         sample = burn.Sample(cls.name, ended, met, latency_s, 0, {})
-        self._book.add(sample, time.monotonic())
+        self._burn_recorder.add(sample, time.monotonic())
         self._counters.incr(f"request.{ended}")
 
 
@@ -364,14 +376,14 @@
     return bool(request.key) and server.deduplicates
 
 
-def _named(service: Service, name: str) -> Server:
+def _find_server(service: Service, name: str) -> Server:
     for server in service.servers:
         if server.name == name:
             return server
-    raise BackendError(f"granted unknown backend server {name!r}")
+    raise BackendError(f"permit names unknown backend server {name!r}")
 
 
-def _replay(outcome: Outcome, recorded: RecordedAnswer) -> Reply:
+def _replayed_reply(outcome: Outcome, recorded: RecordedAnswer) -> Reply:
     outcome.not_run()
     claim = recorded.claim
     headers = {"content-type": claim.content_type, REPLAYED_HEADER: "true"}
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -28,14 +28,14 @@
         "backends",
         'if not str(data.get("id", "")).endswith(attempt_id):',
         "if False:",
-        "test_streams.BrokenStreamTest.test_late_and_crossed_frames",
+        "test_streams.BrokenStreamTest.test_duplicate_and_misrouted_frames",
     ),
     Safeguard(
         "late frames are dropped by offset",
         "answers",
-        "if text and offset <= self._delivered:",
+        "if text and offset <= self._delivered_tokens:",
         "if False:",
-        "test_streams.BrokenStreamTest.test_late_and_crossed_frames",
+        "test_streams.BrokenStreamTest.test_duplicate_and_misrouted_frames",
     ),
     Safeguard(
         "another engine goes on from what was delivered",
@@ -43,7 +43,7 @@
         "            _continue_from(body, self._request.path, self._text)\n",
         "            pass\n",
         "test_streams.BrokenStreamTest"
-        ".test_goes_on_elsewhere_if_the_engine_forgot",
+        ".test_continues_on_another_engine_if_resume_is_refused",
     ),
     Safeguard(
         "a failed resume is no proof of not run",
@@ -52,7 +52,7 @@
         "async def read_cache_events",
         "raise\n\n\nasync def read_cache_events",
         "test_streams.BrokenStreamTest"
-        ".test_goes_on_elsewhere_if_the_engine_forgot",
+        ".test_continues_on_another_engine_if_resume_is_refused",
     ),
     Safeguard(
         "a resume point belongs to its organisation",
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""A violated invariant is counted and logged with its evidence."""
+"""Invariant violations are counted and logged with their evidence."""
 
 import types
 import unittest
@@ -19,7 +19,7 @@
 
 
 class InvariantsTest(unittest.IsolatedAsyncioTestCase):
-    """Reports of violations."""
+    """Reporting of invariant violations."""
 
     def setUp(self) -> None:
         self.counters = metrics.Counters(Statsd())
@@ -44,9 +44,9 @@
         ended.assert_called_once_with(metrics.EXIT_INVARIANT)
 
     async def test_within_an_answer(self) -> None:
-        # The desk finds its state broken while an answer waits. The
-        # violation is reported, and not only told to the caller as an error
-        # like any other (it was once, since it is one of them by type).
+        # The permit client raises an invariant error while an answer waits.
+        # It must be reported as a violation. Since it is a RelayError by
+        # type, it was only returned to the caller like any other error.
         async def acquire(ask) -> None:
             raise InvariantError(f"about {ask.cell}")
 
@@ -88,7 +88,7 @@
             self.assertLogs("jasminerelay.metrics", "ERROR"),
             self.assertRaises(InvariantError),
         ):
-            async for _ in answer.pieces():
+            async for _ in answer.events():
                 pass
         self.assertEqual(self.violations(), 1)
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Every caller gets its whole own answer, or an explicit error."""
+"""Every caller gets its own complete answer, or an explicit error."""
 
 import unittest
 
@@ -19,8 +19,8 @@
 )
 
 
-def engines_running(case: SystemCase) -> list[str]:
-    """Returns the engines that have an open attempt."""
+def engines_with_open_attempts(case: SystemCase) -> list[str]:
+    """Returns the names of engines with an open attempt."""
     return [
         name
         for name in ("model-1", "model-2")
@@ -31,15 +31,14 @@
 
 
 class BrokenStreamTest(SystemCase):
-    """The engine's connection breaks; the engine lives."""
+    """The connection to an engine breaks, but the engine keeps running."""
 
     options = SLOW
 
     def test_resumes_on_the_same_engine(self) -> None:
-        # The connection is cut after five frames; the engine keeps the
-        # stream. The relay resumes it by offset. The caller sees one whole
-        # answer, since no token is lost or sent twice, and none is computed
-        # twice.
+        # The connection is cut after five frames and the engine keeps the
+        # stream. The relay must resume it by offset: no token is lost, sent
+        # twice or computed twice.
         prompt = "cut and kept [len=30]"
         for name in ("model-1", "model-2"):
             self.system.fault(name, cut=5)
@@ -55,10 +54,10 @@
         for name in ("model-1", "model-2"):
             self.system.fault(name, cut=0)
 
-    def test_goes_on_elsewhere_if_the_engine_forgot(self) -> None:
-        # The connection is cut and the engine forgets the stream, so the
-        # resume is refused. The relay goes on elsewhere from the prompt and
-        # the tokens that the caller has. The caller sees one whole answer.
+    def test_continues_on_another_engine_if_resume_is_refused(self) -> None:
+        # The connection is cut and the engine drops the stream, so the resume
+        # is refused. Another engine must continue from the prompt and the
+        # delivered tokens, and the caller gets one complete answer.
         prompt = "cut and forgotten [len=30]"
         for name in ("model-1", "model-2"):
             self.system.fault(name, cut=7, forget=True)
@@ -68,12 +67,11 @@
         for name in ("model-1", "model-2"):
             self.system.fault(name, cut=0, forget=False)
 
-    def test_cut_between_the_last_token_and_the_end(self) -> None:
-        # Every token came and the connection is cut before the end of the
-        # stream; the engine forgets it. Another engine is asked to go on and
-        # has nothing to add; with the limit reached none is asked. The
-        # caller sees the whole answer and not one token more. (Once, a
-        # preempted request got one more.)
+    def test_connection_cut_before_the_end_event(self) -> None:
+        # The connection is cut after the last token but before the end of
+        # the stream, and the engine drops it. Another engine has no token to
+        # add; with the token limit reached no engine is used at all. The
+        # caller must get no extra token, as a preempted request did.
         for prompt, fields in (
             ("last token [len=9]", {}),
             ("at the limit [len=50]", {"max_tokens": 9}),
@@ -87,10 +85,10 @@
             expected = answer_to(prompt).split()[:9]
             self.assertEqual(seen.text.split(), expected)
 
-    def test_late_and_crossed_frames(self) -> None:
-        # Each frame comes twice, and before each comes one of another
-        # request. The caller sees its own tokens once, since frames carry
-        # their attempt and offset.
+    def test_duplicate_and_misrouted_frames(self) -> None:
+        # Each frame arrives twice, preceded by a frame of another request.
+        # Frames carry their attempt and offset, so the caller must get only
+        # its own tokens, each once.
         prompt = "crossed [len=12]"
         for name in ("model-1", "model-2"):
             self.system.fault(name, duplicate_frames=True, crossed_frames=True)
@@ -105,26 +103,26 @@
         self.assertEqual(text_of(body), answer_to(prompt))
         self.assertEqual(body["usage"]["completion_tokens"], 12)
 
-    def test_hang_up_and_connection_reuse(self) -> None:
-        # Callers hang up in the middle of their streams, again and again,
-        # while others ask on. The others see only their own tokens, since
-        # frames of a cancelled attempt are told apart.
+    def test_disconnects_and_connection_reuse(self) -> None:
+        # Callers disconnect in the middle of their streams while others send
+        # requests. The others must get only their own tokens, since frames
+        # of a cancelled attempt are recognised and dropped.
         daemon = self.system.daemons[0]
 
-        class HungUpError(Exception):
+        class DisconnectError(Exception):
             pass
 
-        def hang_up(seen: Streamed) -> None:
+        def disconnect(seen: Streamed) -> None:
             if len(seen.ids) >= 3:
-                raise HungUpError
+                raise DisconnectError
 
         for number in range(10):
-            with self.assertRaises(HungUpError):
-                stream(daemon, f"gone {number} [len=50]", on_event=hang_up)
+            with self.assertRaises(DisconnectError):
+                stream(daemon, f"gone {number} [len=50]", on_event=disconnect)
             prompt = f"stays {number} [len=4]"
             seen = stream(daemon, prompt)
             self.assertEqual(seen.text, answer_to(prompt))
-        wait_for(lambda: not engines_running(self))
+        wait_for(lambda: not engines_with_open_attempts(self))
         cancelled = [
             item
             for item in self.system.journal("model", "attempts")
@@ -134,43 +132,44 @@
 
 
 class EngineKilledTest(SystemCase):
-    """An engine dies in the middle of answers."""
+    """An engine is killed while it streams answers."""
 
     options = SLOW
 
     def test_killed_mid_stream(self) -> None:
-        # The engine is killed after some tokens. The relay finds the
-        # connection closed and goes on with the other engine, from the
-        # prompt and the delivered tokens. All callers see whole answers.
+        # The engine is killed after some tokens. The relay must continue each
+        # answer on the other engine, from the prompt and the delivered
+        # tokens, so that all callers get complete answers.
         prompts = [f"killed {number} [len=60]" for number in range(6)]
         calls = [
             Background(stream, self.system.daemons[index % 2], prompt)
             for index, prompt in enumerate(prompts)
         ]
-        wait_for(lambda: len(engines_running(self)) == 2)
+        wait_for(lambda: len(engines_with_open_attempts(self)) == 2)
         self.system.processes["model-1"].kill()
         for call, prompt in zip(calls, prompts, strict=True):
             seen = call.result()
             self.assertTrue(seen.whole, seen.error)
             self.assertEqual(seen.text, answer_to(prompt))
-        # All engines die: the stream ends with an error event that says the
-        # request ran, and without [DONE], so nobody takes it as whole.
+        # All engines are killed: the stream must end with an error event that
+        # states that the request ran, and without [DONE], which marks it as
+        # incomplete.
         prompt = "no engine left [len=200]"
         call = Background(stream, self.system.daemons[0], prompt)
-        wait_for(lambda: engines_running_alive(self))
+        wait_for(lambda: second_engine_is_streaming(self))
         self.system.processes["model-2"].kill()
         seen = call.result()
         self.assertFalse(seen.done)
         self.assertEqual(seen.error["ran"], "yes")
         self.assertTrue(answer_to(prompt).startswith(seen.text))
-        # And a new request is told that it did not run, at once.
+        # A new request must be refused at once as not run.
         status, body = chat(self.system.daemons[1], "too late")
         self.assertEqual(status, 503)
         self.assertEqual(body["error"]["ran"], "no")
 
 
-def engines_running_alive(case: SystemCase) -> bool:
-    """Returns whether the second engine has delivered some tokens."""
+def second_engine_is_streaming(case: SystemCase) -> bool:
+    """Returns whether the second engine has an open attempt past 3 tokens."""
     return any(
         not item["ended"] and item["tokens"] > 3
         for item in case.system.journal("model-2", "attempts")
@@ -178,15 +177,15 @@
 
 
 class InstanceKilledTest(SystemCase):
-    """The caller's instance dies in the middle of its stream."""
+    """The caller's instance is killed in the middle of its stream."""
 
     options = SLOW
 
     def test_resumes_at_another_instance(self) -> None:
-        # The instance is killed after a few tokens; the caller's connection
-        # breaks. It sends the same request with Last-Event-ID to another
-        # instance, which takes the stream up on its engine. Both parts
-        # together are the whole answer, no token lost or doubled.
+        # The instance is killed after a few tokens. The caller sends the same
+        # request with Last-Event-ID to another instance, which must resume
+        # the stream on its engine. Both parts together are the complete
+        # answer, with no token lost or duplicated.
         prompt = "instance killed [len=60]"
         first, second = self.system.daemons
 
@@ -203,8 +202,8 @@
         self.assertTrue(rest.whole, rest.error)
         self.assertEqual(part.text + rest.text, answer_to(prompt))
         self.assertEqual(len(self.system.journal("model", "attempts")), 1)
-        # The engine no longer has a stream that was cancelled; the caller is
-        # told that it cannot be resumed, and never gets a part as a whole.
+        # Once the engines are killed the stream cannot be gone. The caller
+        # must get an error and never a partial answer as complete.
         for name in ("model-1", "model-2"):
             self.system.processes[name].kill()
         gone = stream(second, prompt, KEY, headers)
