--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -215,7 +215,7 @@
         )
 
     def remove_instance(self, entry: str, *, permits: bool) -> None:
-        """Removes an instance's queued requests and, on request, its permits.
+        """Removes an instance's queued requests and optionally its permits.
 
         Args:
             entry: The instance.
@@ -260,7 +260,7 @@
         self._leaving = servers
 
     def step(self, now: float) -> list[Decision]:
-        """Refuses expired requests, grants free slots; returns decisions."""
+        """Returns all decisions due now: refusals, grants and revocations."""
         for waiting in [w for w in self._waiting.values() if w.expires <= now]:
             self._dequeue(waiting)
             self._refuse(waiting, REFUSED_LATE)
@@ -287,8 +287,8 @@
             len(tier) for other, tier in self._tiers.items() if other <= rank
         )
         slots = sum(server.slots for server in self._servers.values()) or 1
-        drained = (ahead + 1) * self._mean_service_s / slots
-        return min(MAX_RETRY_S, max(MIN_RETRY_S, drained))
+        drain_s = (ahead + 1) * self._mean_service_s / slots
+        return min(MAX_RETRY_S, max(MIN_RETRY_S, drain_s))
 
     def _grant_next(self, now: float) -> Decision | None:
         ranks = sorted(rank for rank, tier in self._tiers.items() if tier)
@@ -298,7 +298,7 @@
         order = ranks if floor is None else [floor, *ranks]
         unplaced: set[int] = set()
         for rank in order:
-            waiting = self._tiers[rank].peek()
+            waiting = self._tiers[rank].next()
             if waiting is None:
                 continue
             if rank != floor and not self._keeps_slots_free(waiting):
@@ -342,7 +342,7 @@
         """
         waiting: list[int] = []
         for rank in sorted(self._tiers):
-            first = self._tiers[rank].peek()
+            first = self._tiers[rank].next()
             if first is not None and self._keeps_slots_free(first):
                 waiting += [rank] * len(self._tiers[rank])
         missing = len(waiting) - len(self._revoked)
@@ -382,11 +382,11 @@
 
         Raises:
             InvariantError: if a tier waits for more grants than its bound:
-                1 / share, plus a turn with every other tier.
+                1 / share, plus turns for every other tier.
         """
         self._last_grant_was_floor = used
         for rank in ranks:
-            first = self._tiers[rank].peek()
+            first = self._tiers[rank].next()
             if first is None or rank in unplaced:
                 # No eligible server has a free slot. The scheduling order is
                 # not the cause, so the tier earns no credit and does not
@@ -439,8 +439,8 @@
         candidates = []
         for server in self._usable():
             name = server.name
-            unexplained = self._unattributed.get(name, 0)
-            if server.slots - self._granted[name] - unexplained <= 0:
+            unattributed = self._unattributed.get(name, 0)
+            if server.slots - self._granted[name] - unattributed <= 0:
                 continue
             if self._backing_off(name, now):
                 continue
@@ -448,7 +448,7 @@
                 routing.Candidate(
                     server,
                     self._granted[name],
-                    unexplained,
+                    unattributed,
                     self.stragglers.slowness(name),
                     self.prefixes.matched(name, waiting.prefixes),
                 )
--- a/src/jasminerelay/brokers.py
+++ b/src/jasminerelay/brokers.py
@@ -39,7 +39,7 @@
 """Longest time that a new broker waits for load reports before it grants.
 
 It has no record yet of permits that other brokers granted. The load reports
-show those requests, so that it does not grant occupied slots.
+show the resulting load, so that it does not grant occupied slots.
 """
 DISCONNECT_GRACE_S = 2.0
 """Time for which a disconnected instance keeps its permits."""
@@ -63,7 +63,7 @@
 
 
 class BrokerHost:
-    """Runs the brokers of one instance and its sessions with instances."""
+    """Runs the brokers hosted by one instance and serves their clients."""
 
     def __init__(
         self,
@@ -199,8 +199,8 @@
             return
         self._buckets.clear()
         for name, hosted in self._hosted.items():
-            # A cell that the manifest no longer contains has no server, so
-            # its broker refuses all requests still queued there.
+            # A cell removed from the manifest is replaced by one without
+            # servers, so that its broker refuses all queued requests.
             gone = Cell(name, (), 1)
             hosted.broker.update(directory.cells.get(name, gone))
         self._step(set(self._hosted), time.monotonic())
--- a/src/jasminerelay/claimdesk.py
+++ b/src/jasminerelay/claimdesk.py
@@ -71,13 +71,13 @@
         table: Table,
         objects: Objects,
         counters: Counters,
-        settle_s: float,
+        ack_timeout_s: float,
         max_inline: int,
     ):
         self._table = table
         self._objects = objects
         self._counters = counters
-        self._settle_s = settle_s
+        self._ack_timeout_s = ack_timeout_s
         self._max_inline = max_inline
         self._queue: list[_QueuedWrite] = []
         self._wake = anyio.Event()
@@ -116,7 +116,7 @@
         """
         claim = Claim(digest, secrets.token_hex(16), at=time.time())
         try:
-            with anyio.fail_after(self._settle_s):
+            with anyio.fail_after(self._ack_timeout_s):
                 return await self._acquire(key, claim, max_call_s)
         except TimeoutError:
             self._counters.incr("claim.unsettled")
--- a/src/jasminerelay/limits.py
+++ b/src/jasminerelay/limits.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 DEFAULT_BURST_S = 10.0
-BATCH_S = 0.5
+LOAN_BATCH_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
@@ -81,7 +81,7 @@
 
     def wanted(self, tokens: float) -> float:
         """Returns how many tokens to borrow: the shortfall and a batch."""
-        batch = self._limit.tokens_per_s * BATCH_S / self._instances
+        batch = self._limit.tokens_per_s * LOAN_BATCH_S / self._instances
         return max(0.0, tokens - self._balance) + batch
 
     def lent(self, tokens: float) -> None:
--- a/src/jasminerelay/naive.py
+++ b/src/jasminerelay/naive.py
@@ -16,7 +16,7 @@
 
 
 class NaiveBroker:
-    """Replaces `Broker` with a FIFO queue local to one instance."""
+    """Drop-in replacement for `Broker`: a FIFO queue in one instance."""
 
     def __init__(self, cell: Cell):
         self._queue: collections.deque[Waiting] = collections.deque()
@@ -66,7 +66,7 @@
         self._leaving = servers
 
     def step(self, now: float) -> list[Decision]:
-        """Refuses expired requests, grants free slots; returns decisions."""
+        """Returns all decisions due now: refusals and grants."""
         decisions, self._pending_refusals = self._pending_refusals, []
         while self._queue:
             head = self._queue[0]
--- a/src/jasminerelay/ordering.py
+++ b/src/jasminerelay/ordering.py
@@ -130,7 +130,7 @@
         if not queue:
             del self._queues[waiting.organisation]
 
-    def peek(self) -> Waiting | None:
+    def next(self) -> Waiting | None:
         """Returns the request to grant next, without removing it."""
         if not self._queues:
             return None
--- a/tests/test_atmostonce.py
+++ b/tests/test_atmostonce.py
@@ -83,7 +83,7 @@
         after = len(self.system.journal("bookings", "runs"))
         self.assertEqual(after - before, 1)
 
-    def test_answer_lost_of_a_lookup(self) -> None:
+    def test_answer_lost_of_repeatable_call(self) -> None:
         # A repeatable call is sent again, within the retry budget.
         self.system.fault("bookings-1", drop_after=1)
         status, _ = call(
@@ -223,7 +223,7 @@
         wait_for(lambda: self.confirm(self.system.daemons[1], key)[0] == 200)
         self.assertEqual(self.runs(key), 1)
 
-    def test_caller_hangs_up(self) -> None:
+    def test_caller_disconnects(self) -> None:
         # The caller disconnects while the service runs the call. The call
         # must complete and its outcome be recorded for the repeat.
         key = fresh_key()
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -81,7 +81,7 @@
         ]
 
     def wait_for_grants(self) -> None:
-        """Sends one request through each instance, so that all have a link."""
+        """Sends a request to each instance, so that all use the broker."""
         for daemon in self.system.daemons:
             chat(daemon, "first")
 
@@ -195,12 +195,12 @@
         wait_for(lambda: len(load.statuses) > 20)
         for number in range(3):
             started = time.monotonic()
-            seen = stream(
+            streamed = stream(
                 self.system.daemons[number],
                 f"street {number} [len=20]",
                 model="drafter",
             )
-            self.assertTrue(seen.whole, seen.error)
+            self.assertTrue(streamed.whole, streamed.error)
             print(f"{time.monotonic() - started:.2f} s", end=" ")
         load.stop()
 
@@ -223,9 +223,9 @@
         ]
         wait_for(lambda: self.preemptions() > 0 or self.burst())
         for sheet, prompt in zip(sheets, prompts, strict=True):
-            seen = sheet.result()
-            self.assertTrue(seen.whole, seen.error)
-            self.assertEqual(seen.text, answer_to(prompt))
+            streamed = sheet.result()
+            self.assertTrue(streamed.whole, streamed.error)
+            self.assertEqual(streamed.text, answer_to(prompt))
         self.assertGreater(self.preemptions(), 0)
         sheet_tokens = sum(
             item["tokens"]
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -22,7 +22,7 @@
             self.usage[name] = max(self.usage.get(name, 0.0), self.level)
         self.items.append(item)
 
-    def peek(self):
+    def next(self):
         counts = {
             item.organisation: sum(
                 other.organisation == item.organisation for other in self.items
@@ -73,8 +73,8 @@
             reference.add(item)
             if not take:
                 continue
-            chosen = tier.peek()
-            self.assertEqual(chosen, reference.peek())
+            chosen = tier.next()
+            self.assertEqual(chosen, reference.next())
             tier.remove(chosen)
             reference.items.remove(chosen)
             tier.charge(chosen.organisation, float(tokens), 1.0)
@@ -87,7 +87,7 @@
         tier.charge("busy", 1000.0, 1.0)
         tier.add(waiting("1", organisation="idle"))
         tier.charge("idle", 1.0, 1.0)
-        self.assertEqual(tier.peek().organisation, "busy")
+        self.assertEqual(tier.next().organisation, "busy")
 
     def test_state_is_bounded(self) -> None:
         # Organisations that sent one request each must not stay in memory.
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -42,9 +42,9 @@
         prompt = "cut and kept [len=30]"
         for name in ("model-1", "model-2"):
             self.system.fault(name, cut=5)
-        seen = stream(self.system.daemons[0], prompt)
-        self.assertTrue(seen.whole)
-        self.assertEqual(seen.text, answer_to(prompt))
+        streamed = stream(self.system.daemons[0], prompt)
+        self.assertTrue(streamed.whole)
+        self.assertEqual(streamed.text, answer_to(prompt))
         runs = [
             item
             for item in self.system.journal("model", "attempts")
@@ -61,9 +61,9 @@
         prompt = "cut and forgotten [len=30]"
         for name in ("model-1", "model-2"):
             self.system.fault(name, cut=7, forget=True)
-        seen = stream(self.system.daemons[0], prompt)
-        self.assertTrue(seen.whole)
-        self.assertEqual(seen.text, answer_to(prompt))
+        streamed = stream(self.system.daemons[0], prompt)
+        self.assertTrue(streamed.whole)
+        self.assertEqual(streamed.text, answer_to(prompt))
         for name in ("model-1", "model-2"):
             self.system.fault(name, cut=0, forget=False)
 
@@ -78,12 +78,12 @@
         ):
             for name in ("model-1", "model-2"):
                 self.system.fault(name, cut=9, forget=True)
-            seen = stream(self.system.daemons[0], prompt, **fields)
+            streamed = stream(self.system.daemons[0], prompt, **fields)
             for name in ("model-1", "model-2"):
                 self.system.fault(name, cut=0, forget=False)
-            self.assertTrue(seen.whole, seen.error)
+            self.assertTrue(streamed.whole, streamed.error)
             expected = answer_to(prompt).split()[:9]
-            self.assertEqual(seen.text.split(), expected)
+            self.assertEqual(streamed.text.split(), expected)
 
     def test_duplicate_and_misrouted_frames(self) -> None:
         # Each frame arrives twice, preceded by a frame of another request.
@@ -92,13 +92,13 @@
         prompt = "crossed [len=12]"
         for name in ("model-1", "model-2"):
             self.system.fault(name, duplicate_frames=True, crossed_frames=True)
-        seen = stream(self.system.daemons[0], prompt)
+        streamed = stream(self.system.daemons[0], prompt)
         status, body = chat(self.system.daemons[1], prompt)
         for name in ("model-1", "model-2"):
             self.system.fault(
                 name, duplicate_frames=False, crossed_frames=False
             )
-        self.assertEqual(seen.text, answer_to(prompt))
+        self.assertEqual(streamed.text, answer_to(prompt))
         self.assertEqual(status, 200)
         self.assertEqual(text_of(body), answer_to(prompt))
         self.assertEqual(body["usage"]["completion_tokens"], 12)
@@ -112,16 +112,16 @@
         class DisconnectError(Exception):
             pass
 
-        def disconnect(seen: Streamed) -> None:
-            if len(seen.ids) >= 3:
+        def disconnect(streamed: Streamed) -> None:
+            if len(streamed.ids) >= 3:
                 raise DisconnectError
 
         for number in range(10):
             with self.assertRaises(DisconnectError):
                 stream(daemon, f"gone {number} [len=50]", on_event=disconnect)
             prompt = f"stays {number} [len=4]"
-            seen = stream(daemon, prompt)
-            self.assertEqual(seen.text, answer_to(prompt))
+            streamed = stream(daemon, prompt)
+            self.assertEqual(streamed.text, answer_to(prompt))
         wait_for(lambda: not engines_with_open_attempts(self))
         cancelled = [
             item
@@ -148,9 +148,9 @@
         wait_for(lambda: len(engines_with_open_attempts(self)) == 2)
         self.system.processes["model-1"].kill()
         for call, prompt in zip(calls, prompts, strict=True):
-            seen = call.result()
-            self.assertTrue(seen.whole, seen.error)
-            self.assertEqual(seen.text, answer_to(prompt))
+            streamed = call.result()
+            self.assertTrue(streamed.whole, streamed.error)
+            self.assertEqual(streamed.text, answer_to(prompt))
         # All engines are killed: the stream must end with an error event that
         # states that the request ran, and without [DONE], which marks it as
         # incomplete.
@@ -158,10 +158,10 @@
         call = Background(stream, self.system.daemons[0], prompt)
         wait_for(lambda: second_engine_is_streaming(self))
         self.system.processes["model-2"].kill()
-        seen = call.result()
-        self.assertFalse(seen.done)
-        self.assertEqual(seen.error["ran"], "yes")
-        self.assertTrue(answer_to(prompt).startswith(seen.text))
+        streamed = call.result()
+        self.assertFalse(streamed.done)
+        self.assertEqual(streamed.error["ran"], "yes")
+        self.assertTrue(answer_to(prompt).startswith(streamed.text))
         # A new request must be refused at once as not run.
         status, body = chat(self.system.daemons[1], "too late")
         self.assertEqual(status, 503)
@@ -189,8 +189,8 @@
         prompt = "instance killed [len=60]"
         first, second = self.system.daemons
 
-        def kill(seen: Streamed) -> None:
-            if len(seen.ids) == 10 and first.popen.poll() is None:
+        def kill(streamed: Streamed) -> None:
+            if len(streamed.ids) == 10 and first.popen.poll() is None:
                 self.end(first)
                 first.kill()
 
