--- a/src/jasminerelay/followers.py
+++ b/src/jasminerelay/followers.py
@@ -1,12 +1,14 @@
-"""Which instances follow the store closely, and whom they tell.
+"""Decides which instances follow the store closely, and whom they notify.
 
-Pure but for the clock. One instance, the first in an order that all agree on,
-has the store prove every second that nothing is newer than what it knows, and
-tells the others, so their knowledge is as young as its own. Whose knowledge
-grows too old all the same asks the store itself.
+This module does no I/O except for reading the clock. The leader, the first
+instance in an order on which all agree, has the store confirm every second that
+nothing is newer than its own data and notifies the others, so their data is as
+young as its own. An instance whose data grows too old all the same asks the
+store itself.
 
-Among few instances all follow the store. Among many, three of each availability
-zone do, and the others of the zone learn from them.
+In a small platform all instances follow the store. In a large one three
+instances of each availability zone do, and forward changes to the others of
+their zone.
 """
 
 import time
@@ -16,53 +18,54 @@
 from jasminerelay.schema.messages import Member
 
 FOLLOWERS = 3
-"""Instances of each availability zone that follow the store closely and tell
-the others of their zone. Two may go at once; the other zones' tell, too."""
+"""Instances of each availability zone that follow the store closely and notify
+the others of their zone. Two may fail at once; the followers of other zones
+notify, too."""
 
 LED_S = 1.2
-"""Silence of those who follow the store for an instance after which it follows
-closely itself. They speak each 0.4 s; a server that leaves must be known within
-two seconds."""
-
-LEADERS = 3
-"""Instances that tell the others what the store has proved to them: the first
-of the order and those that step in for it. More would tell each of the others
-the same."""
-
-LEAD_PATIENCE_S = 1.3
-"""Age of the knowledge from which on the first of the order gives its waiting
-calls up: one that waits 0.9 s and comes back late from a slow store is let be.
-"""
+"""Time without a message from the followers of its zone after which an instance
+follows the store closely itself. They send every 0.4 s, and a leaving server
+must be known within two seconds."""
+
+PROOF_SENDERS = 3
+"""Instances that send the store's proofs to the others: the leader and those
+next in the order, which step in for it. More senders would repeat the same
+messages."""
+
+LEADER_POLL_AGE_S = 1.3
+"""Age of the data above which the leader aborts its waiting calls. A call that
+waits 0.9 s and returns late from a slow store is not aborted."""
 
-LAG_PATIENCE_S = 0.3
-"""The same while one table is known up to an older version than another. The
-older one's own waiting call brings the change in milliseconds, unless it
-hangs."""
+LAGGING_POLL_AGE_S = 0.3
+"""The same limit while one table is confirmed up to an older version than
+another. The waiting call on the older table returns the change in milliseconds,
+unless it hangs."""
 
-STEP_S = 0.1
-MOST_PATIENCE_S = 1.6
-"""How much longer each next one of the order waits, and the longest wait. The
-first one's word then mostly comes before; knowledge is never so old that a
-change is in force late, two seconds after the store has accepted it."""
+POLL_AGE_STEP_S = 0.1
+MAX_POLL_AGE_S = 1.6
+"""How much the limit rises with each place in the order, and its maximum. The
+leader's message usually arrives before another instance's limit is reached. The
+maximum keeps a change from taking effect later than two seconds after the store
+has accepted it."""
 
 
 class Followers:
-    """One instance's part in following the store."""
+    """One instance's role in following the store."""
 
     def __init__(self, own: str, zone: str):
-        """Makes the part of an instance that knows no other yet.
+        """Creates the role of an instance that knows no other yet.
 
         Args:
-            own: This instance.
+            own: Name of this instance.
             zone: Its availability zone.
         """
         self._own = own
         self._zone = zone
-        self._seen: tuple = ()
+        self._last_update: tuple = ()
         self._others: list[Member] = []
         self._order: list[str] = []
-        self._chosen: dict[str, list[Member]] = {}
-        self._heard_at = float("-inf")
+        self._followers_by_zone: dict[str, list[Member]] = {}
+        self._last_message_at = float("-inf")
         self._shared = False
 
     def saw_instances(
@@ -72,40 +75,43 @@
         shared: bool,
         without_store: Collection[str] = (),
     ) -> None:
-        """Notes the instances there are.
+        """Updates the list of instances.
 
         Args:
-            live: Those that take callers.
-            shared: Whether there are so many that few follow for all.
-            without_store: Those that have lost the store.
+            live: Instances that accept callers.
+            shared: Whether the platform is so large that a few instances follow
+                the store for all.
+            without_store: Names of the instances that cannot reach the store.
         """
         members = {item.instance: item for item in live}
-        seen = (frozenset(members), shared, frozenset(without_store))
-        if seen == self._seen:
+        update = (frozenset(members), shared, frozenset(without_store))
+        if update == self._last_update:
             return
-        self._seen = seen
+        self._last_update = update
         self._shared = shared
         self._others = [
             member for name, member in members.items() if name != self._own
         ]
-        able = [name for name in members if name not in without_store]
-        self._order = rendezvous.rank("store", able or members)
+        with_store = [name for name in members if name not in without_store]
+        self._order = rendezvous.rank("store", with_store or members)
         zones: dict[str, list[Member]] = {}
         for member in members.values():
             zones.setdefault(member.zone, []).append(member)
-        self._chosen = {
-            zone: [members[name] for name in chosen(zone, _names(group))]
+        self._followers_by_zone = {
+            zone: [
+                members[name] for name in followers_of_zone(zone, _names(group))
+            ]
             for zone, group in zones.items()
         }
 
     def heard(self, instance: str, now: float) -> None:
-        """Notes a word of an instance that has the store."""
-        if instance in _names(self._chosen.get(self._zone, [])):
-            self._heard_at = now
+        """Records a message from an instance that reaches the store."""
+        if instance in _names(self._followers_by_zone.get(self._zone, [])):
+            self._last_message_at = now
 
     @property
     def leads(self) -> bool:
-        """Whether this instance has the store prove the knowledge for all."""
+        """Whether this instance has the store confirm the data for all."""
         return self._position == 0
 
     @property
@@ -115,40 +121,40 @@
         return len(self._order)
 
     def patience_s(self, *, lags: bool) -> float:
-        """Returns the age of the knowledge from which on to ask the store.
+        """Returns the age of the data above which to ask the store.
 
         Args:
-            lags: Whether one table is known up to an older version than
+            lags: Whether one table is confirmed up to an older version than
                 another.
         """
         if self.leads:
-            return LAG_PATIENCE_S if lags else LEAD_PATIENCE_S
-        later_s = STEP_S * self._position
-        return min(LEAD_PATIENCE_S + later_s, MOST_PATIENCE_S)
+            return LAGGING_POLL_AGE_S if lags else LEADER_POLL_AGE_S
+        extra_s = POLL_AGE_STEP_S * self._position
+        return min(LEADER_POLL_AGE_S + extra_s, MAX_POLL_AGE_S)
 
     def closely(self) -> bool:
         """Returns whether this instance follows the store closely."""
-        own_zone = _names(self._chosen.get(self._zone, []))
+        own_zone = _names(self._followers_by_zone.get(self._zone, []))
         if not self._shared or self.leads or self._own in own_zone:
             return True
-        return time.monotonic() - self._heard_at > LED_S
+        return time.monotonic() - self._last_message_at > LED_S
 
     def told(self) -> list[Member]:
-        """Returns the instances that this one tells of the store's proofs."""
-        if self._position >= LEADERS:
+        """Returns the instances to which this one sends the store's proofs."""
+        if self._position >= PROOF_SENDERS:
             return []
         if not self._shared:
             return self._others
         return [
             member
-            for group in self._chosen.values()
+            for group in self._followers_by_zone.values()
             for member in group
             if member.instance != self._own
         ]
 
     def led(self) -> list[Member]:
-        """Returns the instances that this one tells of the store's changes."""
-        own_zone = _names(self._chosen.get(self._zone, []))
+        """Returns the instances to which this one forwards changes."""
+        own_zone = _names(self._followers_by_zone.get(self._zone, []))
         if not self._shared or self._own not in own_zone:
             return []
         return [
@@ -160,7 +166,7 @@
         ]
 
 
-def chosen(zone: str, instances: Iterable[str]) -> list[str]:
+def followers_of_zone(zone: str, instances: Iterable[str]) -> list[str]:
     """Returns the instances of a zone that follow the store closely.
 
     Args:
--- a/src/jasminerelay/following.py
+++ b/src/jasminerelay/following.py
@@ -1,4 +1,4 @@
-"""Follows the store's tables and keeps the registry up to date."""
+"""Long-polls the store's tables and keeps the registry up to date."""
 
 import dataclasses
 import random
@@ -14,51 +14,52 @@
 from jasminerelay.eventlog import EventLog
 from jasminerelay.freshness import Freshness, now_s
 from jasminerelay.metrics import Counters
-from jasminerelay.registry import Registry, ServerNews
+from jasminerelay.registry import Registry, ServerChange
 from jasminerelay.schema.messages import ServerRow
 
 WAIT_S = 25.0
-"""How long the store holds a call until there is a change; it holds them for
-half a minute at most. Longer waits save calls. That nothing is heard meanwhile
-proves nothing; the knowledge's age says when to ask anew."""
+"""How long the store holds a call until there is a change; it allows half a
+minute at most. Longer waits save calls. A call without an answer does not prove
+that nothing has changed; the age of the data decides when to ask again."""
 
 LEAD_WAIT_S = 0.9
-"""The wait of the instance that proves the knowledge for all: its calls come
-back often, empty or not, and each answer is a proof."""
+"""The wait of the leading instance, which confirms the data for all: its calls
+return often, with or without rows, and each answer is a proof."""
 
-RENEW_LEAST_S = 0.5
-"""Least time between two rounds in which waiting calls are given up."""
+MIN_ABORT_INTERVAL_S = 0.5
+"""Minimum time between two rounds in which waiting calls are aborted."""
 
-RETRY_LEAST_S = 0.2
-RETRY_MOST_S = 0.6
-"""Pause after a call that failed, spread so that the instances do not come
-back at the same moment. A change must be in force within two seconds."""
+RETRY_MIN_S = 0.2
+RETRY_MAX_S = 0.6
+"""Pause after a failed call, randomised so that the instances do not retry at
+the same moment. A change must be in force within two seconds."""
 
 GATHER_S = 0.4
-"""Pause after a change before the next call: servers that start together or
-are replaced change in series, and one call then brings several. It delays word
-of a leaving server, which must be known within two seconds."""
+"""Pause after a change before the next call. Servers that start together or are
+replaced change in series, and one call then returns several rows. The pause
+delays the news of a leaving server, which must be known within two seconds."""
 
 FAR_GATHER_S = 5.0
-"""The same pause where others follow closely and tell of changes: servers that
-start one after the other bring changes for as long."""
+"""The same pause on an instance to which other instances forward changes.
+Servers that start one after the other cause changes for about this long."""
 
 CHECK_AGE_S = 1.0
-"""Age of the store's last answer from which on it is asked again once another
-instance has lost it. Many may lose it within a second; one call serves all."""
+"""Minimum age of the store's last answer before it is asked again because
+another instance has lost it. Many instances may lose it within a second; one
+call answers them all."""
 
-STALE_PAUSE_S = 0.3
-"""Pause before all rows are read again when the store gave older ones."""
+STALE_READ_PAUSE_S = 0.3
+"""Pause before a full read is repeated because it returned an older version."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Page:
-    """Rows as of one moment.
+    """Rows as of one version of the store.
 
     Attributes:
         rows: The rows.
-        version: The store's version at that moment.
-        now_s: The store's steady clock as it answered, in seconds.
+        version: The store's version when it answered.
+        now_s: The store's steady clock when it answered, in seconds.
     """
 
     rows: tuple[ServerRow, ...]
@@ -67,120 +68,132 @@
 
 
 class HistoryGoneError(StoreError):
-    """Changes since a version are no longer to be had; read all rows."""
+    """The store no longer has the changes since a version; read all rows."""
 
 
-class Source(Protocol):
+class TableSource(Protocol):
     """A table of the store."""
 
     async def read(self) -> Page:
         """Returns all rows."""
 
     async def changes(self, after: int, wait_s: float) -> Page:
-        """Waits for rows that changed after a version."""
+        """Waits up to `wait_s` for rows that changed after a version."""
 
 
 class StoreState:
-    """Whether the store answers this instance, over all that ask it.
+    """Tracks whether the store answers the calls of this instance.
 
     Attributes:
-        answered: Steady time of its last answer to any call.
-        on_news: Is called once the knowledge is proved anew by the store
-            itself, and once the store is lost.
+        answered: Steady time of the store's last answer to any call.
+        on_news: Called when the store itself has confirmed the data up to a
+            later moment, and when the store becomes unreachable.
     """
 
     def __init__(self, registry: Registry, freshness: Freshness, log: EventLog):
         self._registry = registry
         self._freshness = freshness
         self._log = log
-        self._lost_by: set[str] = set()
-        self._doubt = anyio.Event()
-        self._renewed_at = float("-inf")
+        self._failing_calls: set[str] = set()
+        self._abort_waits = anyio.Event()
+        self._aborted_at = float("-inf")
         self.answered = float("-inf")
         self.on_news: Callable[[], None] = lambda: None
 
     @property
     def lost(self) -> bool:
-        """Whether the last call of someone failed."""
-        return bool(self._lost_by)
+        """Whether the last call of any kind failed."""
+        return bool(self._failing_calls)
 
     @property
-    def doubt(self) -> anyio.Event:
-        """Is set once waiting calls may be without an answer for good."""
-        return self._doubt
-
-    def failed(self, who: str, why: str) -> None:
-        """Notes a call that failed."""
-        first = not self._lost_by
-        self._lost_by.add(who)
-        self._registry.store_lost()
+    def abort_waits(self) -> anyio.Event:
+        """Set when waiting calls may never be answered and must be aborted."""
+        return self._abort_waits
+
+    def failed(self, call: str, why: str) -> None:
+        """Records a failed call.
+
+        Args:
+            call: The kind of call.
+            why: Why it failed.
+        """
+        first = not self._failing_calls
+        self._failing_calls.add(call)
+        self._registry.mark_store_unreachable()
         if first:
             self._log.trouble(
                 "dependency_lost",
                 name="store",
-                call=who,
+                call=call,
                 answered_s=round(time.monotonic() - self.answered, 2),
                 why=why,
             )
-            self._renew()
+            self._abort_waiting_calls()
             self.on_news()
 
-    def worked(self, who: str) -> None:
-        """Notes a call that worked."""
+    def worked(self, call: str) -> None:
+        """Records a successful call.
+
+        Args:
+            call: The kind of call.
+        """
         now = time.monotonic()
         self.answered = now
-        was_lost = bool(self._lost_by)
-        self._lost_by.discard(who)
-        if self._lost_by:
+        was_lost = bool(self._failing_calls)
+        self._failing_calls.discard(call)
+        if self._failing_calls:
             return
-        self._registry.store_regained(now)
+        self._registry.mark_store_reachable(now)
         if was_lost:
             self._log.trouble("dependency_regained", name="store")
 
     def proved(self, table: str, version: int, at: float) -> None:
-        """Notes an answer on a table whose rows have been taken.
+        """Records an answer on a table whose rows have been applied.
 
         Args:
             table: The table.
-            version: The store's newest version, by the answer.
-            at: When that was the newest one, by `freshness.now_s`.
+            version: The store's newest version, according to the answer.
+            at: Boot time at which that was the newest version, in seconds.
         """
         if self._freshness.answered(table, version, at):
             self.on_news()
 
-    def renew_after(self, patience_s: float) -> None:
-        """Has the store asked anew once the knowledge is too old.
+    def renew_after(self, max_age_s: float) -> None:
+        """Aborts waiting calls once the data is older than a limit.
 
-        A waiting call that an outage has left without an answer looks like
-        one that waits for a change, and no other call need fail: all
-        instances would hold an old configuration with the store at hand. Who
-        has lost the store asks without waiting anyway.
+        A waiting call that an outage has left unanswered looks like one that
+        waits for a change, and no other call need fail: all instances would
+        hold an old configuration although the store is reachable. An instance
+        that has lost the store calls it without waiting anyway.
 
         Args:
-            patience_s: Age of the knowledge from which on it is asked.
+            max_age_s: Age of the data above which the store is asked again.
         """
         now = now_s()
-        if self._lost_by or now - self._renewed_at < RENEW_LEAST_S:
+        if self._failing_calls or now - self._aborted_at < MIN_ABORT_INTERVAL_S:
             return
-        if self._freshness.age_s(now) > patience_s:
-            self._renewed_at = now
-            self._renew()
+        if self._freshness.age_s(now) > max_age_s:
+            self._aborted_at = now
+            self._abort_waiting_calls()
 
     def check(self) -> None:
-        """Has the store asked at once, since another instance has lost it.
+        """Aborts waiting calls because another instance has lost the store.
 
-        Calls that wait may show an outage only after seconds. Rows of living
-        servers that lapse in it would pass for removals here, and by this
-        instance's list at the others: the pool would be empty until the
-        servers are back, up to two seconds after the store.
+        Waiting calls may show an outage only after seconds. Meanwhile the
+        lapsed rows of living servers would be taken for removals here, and
+        through this instance's list also at the others: the pool would be empty
+        until the servers are back, up to two seconds after the store's return.
         """
-        if self._lost_by or time.monotonic() - self.answered < CHECK_AGE_S:
+        if (
+            self._failing_calls
+            or time.monotonic() - self.answered < CHECK_AGE_S
+        ):
             return
-        self._renew()
+        self._abort_waiting_calls()
 
-    def _renew(self) -> None:
-        self._doubt.set()
-        self._doubt = anyio.Event()
+    def _abort_waiting_calls(self) -> None:
+        self._abort_waits.set()
+        self._abort_waits = anyio.Event()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -202,23 +215,23 @@
     def __init__(
         self,
         name: str,
-        source: Source,
+        source: TableSource,
         state: StoreState,
         counters: Counters,
         rng: random.Random,
-        manner: Callable[[], Manner] = Manner,
+        mode: Callable[[], Manner] = Manner,
     ):
-        """Makes a follower.
+        """Creates a follower.
 
         Args:
-            name: Names it in logs.
+            name: The table's name in logs.
             source: The table.
-            state: Takes notes of lost and regained touch.
+            state: Records failed and successful calls.
             counters: Counts calls.
-            rng: Spreads the tries.
-            manner: Returns how to follow from now on.
+            rng: Randomises the retry pauses.
+            mode: Returns how to follow the table from now on.
         """
-        self._manner = manner
+        self._mode = mode
         self._name = name
         self._source = source
         self._state = state
@@ -227,34 +240,34 @@
 
     async def run(
         self,
-        take_all: Callable[[Page], bool],
-        take_changes: Callable[[Page], None],
+        apply_all: Callable[[Page], bool],
+        apply_changes: Callable[[Page], None],
     ) -> None:
         """Follows the table.
 
         Args:
-            take_all: Takes all rows; returns whether they are as new as what
-                was known.
-            take_changes: Takes changed rows.
+            apply_all: Applies a full read; returns false if it is older than
+                the data applied before.
+            apply_changes: Applies changed rows.
         """
         after: int | None = None
-        # The first call after a failure asks for what there is now. A call
-        # that waits for a change would tell of the store's return only with
-        # the next change, and that change, a row that went, would be taken
-        # for one that lapsed in the outage.
+        # The first call after a failure does not wait for a change. Otherwise
+        # the store's return would be noticed only with the next change, and if
+        # that change were a removed row, it would be taken for one that lapsed
+        # during the outage.
         wait_s = 0.0
         while True:
             try:
                 if after is None:
-                    after = await self._read_all(take_all)
+                    after = await self._read_all(apply_all)
                     continue
-                asked = now_s()
+                asked_at = now_s()
                 page = await self._changes(after, wait_s)
                 if page is None:
                     wait_s = 0.0
                     continue
-                newest_at = _newest_at(page, asked, wait_s)
-                wait_s = self._manner().wait_s
+                newest_at = _newest_at(page, asked_at, wait_s)
+                wait_s = self._mode().wait_s
             except HistoryGoneError:
                 after = None
                 continue
@@ -262,32 +275,30 @@
                 wait_s = 0.0
                 self._counters.incr("store.failed")
                 self._state.failed(self._name, exc.message)
-                await anyio.sleep(
-                    self._rng.uniform(RETRY_LEAST_S, RETRY_MOST_S)
-                )
+                await anyio.sleep(self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S))
                 continue
-            self._worked()
+            self._succeeded()
             after = max(after, page.version)
             if page.rows:
-                take_changes(page)
+                apply_changes(page)
             self._state.proved(self._name, page.version, newest_at)
-            if page.rows and await self._doubted():
+            if page.rows and await self._pause_aborted():
                 wait_s = 0.0
 
     async def _changes(self, after: int, wait_s: float) -> Page | None:
-        """Waits for changes; None once the store is in doubt.
+        """Waits for changes; returns None if the wait was aborted.
 
-        An outage may leave a waiting call without an answer for good, on a
-        connection that looks alive. Until its own time is over it hears of
-        no change, and requests go on to a server that has said that it
-        leaves. Who fails first therefore has all ask anew, here and at the
-        other instances.
+        An outage may leave a waiting call unanswered for good, on a connection
+        that looks alive. Until that call times out it would see no change, and
+        requests would go on to a server that has announced that it leaves. The
+        first call that fails therefore aborts all waiting calls, on this
+        instance and on the others.
         """
         if not wait_s:
             return await self._source.changes(after, wait_s)
         page = failure = None
         async with anyio.create_task_group() as group:
-            group.start_soon(_cancel_when, self._state.doubt, group)
+            group.start_soon(_cancel_when, self._state.abort_waits, group)
             try:
                 page = await self._source.changes(after, wait_s)
             except StoreError as exc:
@@ -297,46 +308,51 @@
             raise failure
         return page
 
-    async def _doubted(self) -> bool:
-        """Pauses; returns whether the store came into doubt meanwhile.
+    async def _pause_aborted(self) -> bool:
+        """Pauses after a change; returns whether the pause was aborted.
 
         An outage that begins in a long pause would not be noticed here, and
-        rows that lapse in it would pass for removals. Nor may the pause go on
-        once those who told of changes are silent.
+        rows that lapse in it would be taken for removals. The pause is
+        shortened once the instances that forward changes have become
+        unresponsive.
         """
-        doubt = self._state.doubt
+        abort_waits = self._state.abort_waits
         began = time.monotonic()
-        while not doubt.is_set():
-            left_s = began + self._manner().gather_s - time.monotonic()
+        while not abort_waits.is_set():
+            left_s = began + self._mode().gather_s - time.monotonic()
             if left_s <= 0:
                 break
             with anyio.move_on_after(min(left_s, GATHER_S)):
-                await doubt.wait()
-        return doubt.is_set()
+                await abort_waits.wait()
+        return abort_waits.is_set()
 
-    async def _read_all(self, take_all: Callable[[Page], bool]) -> int | None:
-        asked = now_s()
+    async def _read_all(self, apply_all: Callable[[Page], bool]) -> int | None:
+        asked_at = now_s()
         page = await self._source.read()
-        self._worked()
-        if take_all(page):
-            self._state.proved(self._name, page.version, asked)
+        self._succeeded()
+        if apply_all(page):
+            self._state.proved(self._name, page.version, asked_at)
             return page.version
-        await anyio.sleep(STALE_PAUSE_S)
+        await anyio.sleep(STALE_READ_PAUSE_S)
         return None
 
-    def _worked(self) -> None:
+    def _succeeded(self) -> None:
         self._counters.incr("store.calls")
         self._state.worked(self._name)
 
 
-def _newest_at(page: Page, asked: float, wait_s: float) -> float:
+def _newest_at(page: Page, asked_at: float, wait_s: float) -> float:
     """Returns a moment at which a page's version was the store's newest.
 
-    An answer may have lain in a buffer while this process stood still, so the
+    An answer may have been buffered while this process was stalled, so the
     moment at which it is read proves nothing.
     """
-    over = asked + wait_s
-    return over if not page.rows and now_s() >= over else asked
+    wait_ended_at = asked_at + wait_s
+    return (
+        wait_ended_at
+        if not page.rows and now_s() >= wait_ended_at
+        else asked_at
+    )
 
 
 async def _cancel_when(event: anyio.Event, group: TaskGroup) -> None:
@@ -345,18 +361,18 @@
 
 
 class RegistryFeed:
-    """Brings the tables' rows into the registry, with a line for each news."""
+    """Applies the tables' rows to the registry and logs each change."""
 
     def __init__(
         self, registry: Registry, key: str, counters: Counters, log: EventLog
     ):
-        """Makes the feed.
+        """Creates the feed.
 
         Args:
-            registry: Takes the rows.
+            registry: Receives the rows.
             key: Key of the configuration's row.
-            counters: Counts rows that cannot be read.
-            log: Takes events.
+            counters: Counts unreadable rows.
+            log: Receives events.
         """
         self._registry = registry
         self._key = key
@@ -367,24 +383,25 @@
         self.on_changed: Callable[[], None] = lambda: None
 
     def take_configuration(self, page: Page) -> bool:
-        """Takes rows of the operator's table."""
+        """Applies rows of the operator's table."""
         for row in page.rows:
             if row.id == self._key and row.data is not None:
-                self.adopt_configuration(row.version, row.data, "store")
+                self.apply_configuration(row.version, row.data, "store")
         self.on_changed()
         return True
 
-    def adopt_configuration(
+    def apply_configuration(
         self, version: int, data: bytes, source: str
     ) -> None:
-        """Takes a configuration, whoever brought it."""
+        """Applies a configuration from the store or from another instance."""
         try:
-            news = self._registry.take_configuration(version, data)
+            applied = self._registry.take_configuration(version, data)
         except ValueError as exc:
-            # The one in force stays: half a configuration is none.
+            # The current configuration stays in force; an unreadable one is
+            # never applied in part.
             self._log.trouble("configuration_unreadable", why=str(exc))
             return
-        if news:
+        if applied:
             self._log.trouble(
                 "configuration",
                 version=self._registry.catalog.version,
@@ -392,7 +409,7 @@
                 source=source,
             )
         elif version > self._registry.standing.configuration_version:
-            # The row is newer and its configuration older than the one in
+            # The row is newer, but its configuration is older than the one in
             # force, which never goes back.
             self._log.trouble(
                 "configuration_passed_over",
@@ -402,26 +419,27 @@
             )
 
     def take_all_servers(self, page: Page) -> bool:
-        """Takes all servers' rows; older ones are passed over."""
+        """Applies a full read of the servers' rows; ignores an older one."""
         if page.version < self._registry.servers_version:
             return False
-        self._take(page, self._registry.take_all)
+        self._apply(page, self._registry.take_all)
         return True
 
     def take_servers(self, page: Page) -> None:
-        """Takes changed servers' rows."""
-        self._take(page, self._registry.take_changes)
+        """Applies changed servers' rows."""
+        self._apply(page, self._registry.take_changes)
 
-    def _take(self, page: Page, take: Callable) -> None:
-        news = take(page.rows, page.version)
-        self.report(news, "store")
+    def _apply(self, page: Page, apply: Callable) -> None:
+        changes = apply(page.rows, page.version)
+        self.report(changes, "store")
         self.on_changed()
 
     def expire(self, now: float) -> None:
-        """Ends the use of servers that stayed away after an outage.
+        """Removes servers that did not return after an outage.
 
-        One that left without a word may still serve what it has under way,
-        so its streams are moved like those of any other that is gone.
+        A server that left without announcing it may still serve requests in
+        flight, so its streams are moved like those of any other server that is
+        gone.
         """
         for server in self._registry.expire(now):
             self._end(server)
@@ -432,44 +450,44 @@
                 why="did not come back after the store's outage",
             )
 
-    def report(self, news: list[ServerNews], source: str) -> None:
-        """Writes a line for each server with news."""
-        for item in news:
-            if item.why:
+    def report(self, changes: list[ServerChange], source: str) -> None:
+        """Logs each change of a server and calls the callbacks."""
+        for change in changes:
+            if change.why:
                 self._counters.incr("server.unreadable")
                 self._log.trouble(
                     "server_unreadable",
-                    server=item.row.id,
-                    row_version=item.row.version,
-                    why=item.why,
+                    server=change.row.id,
+                    row_version=change.row.version,
+                    why=change.why,
                     source=source,
                 )
                 continue
-            if item.kept:
+            if change.kept:
                 self._counters.incr("server.kept")
-            self._tell(item)
+            self._notify(change)
             self._log.trouble(
                 "server",
-                server=(item.after or item.before).id,
-                state=_state(item),
-                row_version=item.row.version,
+                server=(change.after or change.before).id,
+                state=_state(change),
+                row_version=change.row.version,
                 source=source,
             )
 
-    def _tell(self, item: ServerNews) -> None:
-        if item.ended is not None:
-            self._end(item.ended)
-        if item.after is not None and item.after.draining:
-            self.on_leaving(item.after.id)
+    def _notify(self, change: ServerChange) -> None:
+        if change.ended is not None:
+            self._end(change.ended)
+        if change.after is not None and change.after.draining:
+            self.on_leaving(change.after.id)
 
     def _end(self, server: BackendServer) -> None:
         self.on_leaving(server.id)
         self.on_gone(server.id)
 
 
-def _state(item: ServerNews) -> str:
-    if item.after is None:
+def _state(change: ServerChange) -> str:
+    if change.after is None:
         return "gone"
-    if item.kept:
+    if change.kept:
         return "kept without a row"
-    return "draining" if item.after.draining else "in use"
+    return "draining" if change.after.draining else "in use"
--- a/src/jasminerelay/freshness.py
+++ b/src/jasminerelay/freshness.py
@@ -1,10 +1,11 @@
-"""How old an instance's knowledge of the store is.
-
-Pure. Silence of the store is no proof that nothing has changed: it may have
-left a waiting call without an answer for good, on a connection that looks
-alive. So knowledge carries its age, the time since the moment up to which the
-store, or another instance that had it from the store, has shown it complete.
-Whatever is final for a caller goes by that age.
+"""Age of an instance's data from the store.
+
+This module does no I/O. A call without an answer does not prove that nothing
+has changed: the store may have left a waiting call unanswered for good, on a
+connection that looks alive. So the data carries its age: the time since the
+moment up to which the store, or another instance that was confirmed by the
+store, has shown it to be complete. Final refusals to callers depend on that
+age.
 """
 
 import dataclasses
@@ -12,12 +13,13 @@
 from collections.abc import Iterable
 
 STALL_S = 0.5
-"""Time without a tick after which this process has stood still. What is read
-then may have waited in a buffer, and its age counts from when it was sent."""
+"""Time without a tick after which this process counts as stalled. A message
+read then may have waited in a buffer, and its age counts from when it was
+sent."""
 
-DEAF_S = 0.3
-"""How long others' ages are passed over after a standstill; the buffer is
-empty within milliseconds."""
+IGNORE_AGES_S = 0.3
+"""How long ages reported by other instances are ignored after a stall. The
+buffer is drained within milliseconds."""
 
 NEVER = float("-inf")
 
@@ -25,19 +27,20 @@
 def now_s() -> float:
     """Returns seconds since the machine's start.
 
-    Unlike the steady clock it goes on while the machine is suspended, and
-    knowledge grows old in that time.
+    Unlike the monotonic clock it advances while the machine is suspended, and
+    the data grows old in that time.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclasses.dataclass(frozen=True)
 class _Read:
-    """What an answer on one table showed.
+    """The latest answer on one table.
 
     Attributes:
-        version: The store's newest version, up to which the table is known.
-        at: When that was the newest one, by `now_s`.
+        version: The store's newest version, up to which the table's rows are
+            applied.
+        at: Boot time at which that was the newest version, in seconds.
     """
 
     version: int
@@ -45,83 +48,83 @@
 
 
 class Freshness:
-    """Up to when an instance's knowledge of some tables is complete."""
+    """The moment up to which the data of an instance is complete."""
 
     def __init__(self, tables: Iterable[str]):
-        """Makes it for an instance that knows nothing yet.
+        """Creates the state of an instance without data.
 
         Args:
-            tables: The tables that make up the knowledge.
+            tables: The tables that make up the data.
         """
         self._reads = {table: _Read(-1, NEVER) for table in tables}
         self._complete_at = NEVER
         self._ticked_at = NEVER
-        self._deaf_until = NEVER
+        self._ignore_ages_until = NEVER
 
     @property
     def lags(self) -> bool:
-        """Whether one table is known up to an older version than another.
+        """Whether one table is confirmed up to an older version than another.
 
-        The change in between may be one of either table.
+        The change in between may belong to either table.
         """
         versions = {read.version for read in self._reads.values()}
         return len(versions) > 1
 
     def age_s(self, now: float) -> float:
-        """Returns the age; infinite before the first proof."""
+        """Returns the age of the data; infinite before the first proof."""
         return now - self._complete_at
 
     def answered(self, table: str, version: int, at: float) -> bool:
-        """Notes an answer of the store whose rows have been taken.
+        """Records an answer of the store whose rows have been applied.
 
         Args:
-            table: The table asked for.
-            version: The store's newest version, by the answer.
-            at: A moment at which that was the newest one for certain: when
-                the call was sent, or when its wait was over.
+            table: The table of the call.
+            version: The store's newest version, according to the answer.
+            at: A moment at which that was certainly the newest version: when
+                the call was sent, or when its wait ended.
 
         Returns:
-            Whether the knowledge is proved complete up to a later moment.
+            Whether the data is now proved complete up to a later moment.
         """
         before = self._reads[table]
         if version < before.version:
             return False
         self._reads[table] = _Read(version, max(at, before.at))
-        return self._reach(min(map(self._proved_at, self._reads.values())))
+        return self._advance_to(min(map(self._proved_at, self._reads.values())))
 
     def told(self, age_s: float, now: float) -> None:
-        """Notes the age of another instance's knowledge.
+        """Records the age of another instance's data.
 
         Args:
-            age_s: Its age; this instance must know all that the other knows.
+            age_s: Its age; this instance must have all data that the other has.
             now: The time.
         """
-        if self._stood_still(now) or now < self._deaf_until:
+        if self._was_stalled(now) or now < self._ignore_ages_until:
             return
-        self._reach(now - age_s)
+        self._advance_to(now - age_s)
 
     def tick(self, now: float) -> None:
-        """Notes that the process runs; is called ten times a second."""
-        if self._stood_still(now):
-            self._deaf_until = now + DEAF_S
+        """Records that the process is running; called ten times a second."""
+        if self._was_stalled(now):
+            self._ignore_ages_until = now + IGNORE_AGES_S
         self._ticked_at = now
 
-    def _stood_still(self, now: float) -> bool:
+    def _was_stalled(self, now: float) -> bool:
         return now - self._ticked_at > STALL_S
 
-    def _proved_at(self, known: _Read) -> float:
-        """Returns up to when a table is complete.
+    def _proved_at(self, table_read: _Read) -> float:
+        """Returns the moment up to which a table is complete.
 
-        No change came to any table between the version up to which it is
-        known and an older one that was the store's newest later on.
+        No table changed between the version up to which it is applied and an
+        older version that was still the store's newest at a later moment.
         """
         return max(
             read.at
             for read in self._reads.values()
-            if read.version <= known.version
+            if read.version <= table_read.version
         )
 
-    def _reach(self, complete_at: float) -> bool:
+    def _advance_to(self, complete_at: float) -> bool:
         if complete_at <= self._complete_at:
             return False
         self._complete_at = complete_at
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -44,7 +44,7 @@
     Snapshot,
     Standing,
 )
-from jasminerelay.standings import Standings
+from jasminerelay.standings import PeerStandings
 
 LOAD_EVERY_S = 0.1
 """How often loads are sent while they change. Choices by loads that are older
@@ -122,7 +122,7 @@
         self._log = log
         self._rng = rng
         self._number = 0
-        self.standings = Standings(registry, freshness)
+        self.standings = PeerStandings(registry, freshness)
         self._addresses: set[str] = set()
         self._live: set[str] = set()
         self._outbox, self._outgoing = anyio.create_memory_object_stream(
@@ -375,7 +375,7 @@
         now = time.monotonic()
         if word.sender == self.membership.own.instance:
             return
-        if self.standings.loses_store(word.sender, word.standing):
+        if self.standings.reports_store_loss(word.sender, word.standing):
             self.on_store_lost()
         self.standings.hear(word.sender, word.standing, now, now_s())
         loads = peerwords.load_rows(word.loads)
@@ -412,7 +412,7 @@
         exchange = Exchange(
             "GET",
             f"http://{address}{SNAPSHOT_PATH}?{KNOWN_FIELD}={known}"
-            f"&{SINCE_FIELD}={self._registry.complete_until}",
+            f"&{SINCE_FIELD}={self._registry.delta_base_version}",
             timeout_s=FETCH_TIMEOUT_S,
         )
         try:
@@ -458,7 +458,9 @@
         since = _version(query, SINCE_FIELD)
         body = b""
         if found:
-            body = _encode(self._pack(self._registry.export(known, since)))
+            body = _encode(
+                self._pack(self._registry.export_snapshot(known, since))
+            )
         await send(
             {
                 "type": "http.response.start",
--- a/src/jasminerelay/registry.py
+++ b/src/jasminerelay/registry.py
@@ -1,15 +1,16 @@
-"""What an instance believes of configuration and backend servers.
-
-Pure: it takes rows, snapshots and the time, and keeps the newest of each. The
-words come from the platform's store or, while that is out of reach, from
-other instances; both carry the store's version, so the newer one wins
-whichever way it came.
-
-A row that is gone means a server that leaves, or a living one that could not
-renew its row since the store was away. Whoever has had the store all the while
-can tell: its list is settled, and what is missing there is gone. Whoever has
-lost the store keeps such a server until a settled list lacks it, or until it
-has had the store back for long enough itself.
+"""Replicated view of the configuration and the backend servers.
+
+This module does no I/O: it is given rows, snapshots and the time, and keeps the
+newest state of each. Updates come from the platform's store or, while that is
+unreachable, from other instances. Both carry the store's version, so the newer
+update wins whichever way it arrived.
+
+A missing row means either that the server has left, or that a living server
+could not renew its row because the store was unreachable. An instance that has
+had the store throughout can tell the two apart: its list is settled, and a
+server without a row there has left. An instance that lost the store keeps such
+a server until a settled list lacks it, or until the store has been reachable
+again for long enough.
 """
 
 import collections
@@ -23,37 +24,38 @@
 from jasminerelay.schema.messages import ServerRow, Snapshot, Standing
 
 RETURN_GRACE_S = 2.2
-"""How long a server whose row lapsed in an outage of the store stays in use
-after the store's return: a living one is back within two seconds, and one
-that is gone must not get work for long."""
+"""How long a server whose row lapsed during a store outage stays in use after
+the store is reachable again. A living server renews its row within two seconds,
+and one that has left must not receive requests for long."""
 
-MAX_PAST = 1024
-"""Incarnations that are remembered after another one took their name; enough
-for each of 600 servers to have restarted within the minutes in which a late
-word of the former incarnation may still come."""
+MAX_HISTORY = 1024
+"""Limit on remembered incarnations that were replaced, and on remembered
+removals. It covers a restart of each of 600 servers within the minutes in which
+a delayed update about the former incarnation may still arrive."""
 
-Decode = Callable[[str, bytes], BackendServer]
+ServerDecoder = Callable[[str, bytes], BackendServer]
 
 
 class Touch(enum.IntEnum):
-    """Touch of an instance with the store, as instances tell each other."""
+    """Whether an instance reaches the store, as reported to other instances."""
 
     LOST = 0
     THERE = 1
     SETTLED = 2
-    """There for long enough that a server without a row is gone."""
+    """Reachable for long enough that a server without a row has left."""
 
 
 @dataclasses.dataclass(frozen=True)
-class ServerNews:
-    """What a row has changed.
+class ServerChange:
+    """The effect of a server's row on the registry.
 
     Attributes:
         row: The row.
-        before: The server that its name stood for; None for none.
-        after: The server that it stands for now; None for none.
-        why: Why the row names no server to use, if it cannot be read.
-        kept: Whether the row is gone and its server stays in use for a while.
+        before: The server registered under the name before; None for none.
+        after: The server registered under the name now; None for none.
+        why: Why the row could not be decoded; "" if it could.
+        kept: Whether the row was removed and its server stays in use for a
+            while.
     """
 
     row: ServerRow
@@ -64,7 +66,7 @@
 
     @property
     def ended(self) -> BackendServer | None:
-        """The incarnation that is over, if one is."""
+        """The incarnation that this change ended, if any."""
         if self.before is None or self.why:
             return None
         if self.after is None or self.after.id != self.before.id:
@@ -73,8 +75,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Held:
-    """What a name stands for; `usable` is false behind an unreadable row."""
+class _Entry:
+    """Registered server of a name; not usable if its row is unreadable."""
 
     row: ServerRow
     server: BackendServer
@@ -82,87 +84,90 @@
 
 
 class Registry:
-    """The newest catalog and backend servers that this instance has heard of.
+    """The newest catalog and backend servers known to this instance.
 
     Example:
         >>> registry = Registry(decode_catalog, decode_server)  # doctest: +SKIP
-        >>> registry.take_configuration(3, body)                # doctest: +SKIP
+        >>> registry.servers_of("pool")                         # doctest: +SKIP
     """
 
     def __init__(
         self,
         decode_catalog: Callable[[bytes], Catalog],
-        decode_server: Decode,
+        decode_server: ServerDecoder,
     ):
-        """Makes an empty registry.
+        """Creates an empty registry.
 
         Args:
-            decode_catalog: Reads a configuration; ValueError if it cannot.
-            decode_server: Reads a server's row; ValueError if it cannot.
+            decode_catalog: Decodes a configuration; raises ValueError if it
+                cannot.
+            decode_server: Decodes a server's row; raises ValueError if it
+                cannot.
         """
         self._decode_catalog = decode_catalog
         self._decode_server = decode_server
         self.catalog: Catalog | None = None
         self._configuration = (0, b"")
-        self._unread_configuration = 0
-        self._held: dict[str, _Held] = {}
+        self._unreadable_configuration_version = 0
+        self._entries: dict[str, _Entry] = {}
         self._servers_version = 0
-        self._servers_known = False
+        self._servers_received = False
         self._lapsed: set[str] = set()
-        self._past: collections.OrderedDict[str, None] = (
+        self._ended_incarnations: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self._unreadable: dict[str, int] = {}
-        self._touch = Touch.THERE
-        self._touch_since: float | None = None
-        self._was_lost = False
-        self._consulted = 0
+        self._unreadable_rows: dict[str, int] = {}
+        self._store_contact = Touch.THERE
+        self._store_reachable_since: float | None = None
+        self._had_outage = False
+        self._settled_list_version = 0
         self._digest = 0
         self._by_service: dict[str, list[BackendServer]] = {}
         self._ids: dict[str, tuple[str, ...]] = {}
-        self._gone: collections.OrderedDict[str, int] = (
+        self._removals: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._gone_since: int | None = None
-        self._doubted = False
+        self._removals_complete_since: int | None = None
+        self._digest_mismatch = False
 
     @property
     def complete(self) -> bool:
-        """Whether configuration and servers are known."""
-        return self.catalog is not None and self._servers_known
+        """Whether a configuration and a list of servers have been received."""
+        return self.catalog is not None and self._servers_received
 
     @property
     def misses_configuration(self) -> bool:
-        """Whether there is a newer configuration that cannot be read here."""
-        return self._unread_configuration > self._configuration[0]
+        """Whether a newer configuration exists that cannot be decoded here."""
+        return self._unreadable_configuration_version > self._configuration[0]
 
     @property
     def servers_version(self) -> int:
-        """The store's version as of which the servers hold."""
+        """The store's version that the list of servers reflects."""
         return self._servers_version
 
     @property
     def standing(self) -> Standing:
-        """How new this knowledge is."""
+        """The versions and the digest of this registry, for other instances."""
         return Standing(
             self._configuration[0],
             self._servers_version,
             self._digest,
-            self._touch,
+            self._store_contact,
         )
 
     def servers_of(self, service: str) -> list[BackendServer]:
-        """Returns the servers of a service that take new work."""
+        """Returns the servers of a service that accept new requests."""
         return self._by_service.get(service, [])
 
     def ids_of(self, service: str) -> tuple[str, ...]:
-        """Returns the ids of a service's servers that take work, sorted."""
+        """Returns the sorted ids of a service's servers that take requests."""
         return self._ids.get(service, ())
 
     def server(self, server_id: str) -> BackendServer | None:
-        """Returns a server by its id, also a draining one."""
-        # Rows are held by the server's name, which its id may go on from.
-        held = self._held.get(server_id) or self._held.get(
+        """Returns a server by its id, including draining servers."""
+        # Rows are keyed by the server's name. An id is the name, optionally
+        # followed by "@" and the start time.
+        held = self._entries.get(server_id) or self._entries.get(
             server_id.rpartition("@")[0]
         )
         if held is None or held.server.id != server_id:
@@ -170,23 +175,23 @@
         return held.server
 
     def servers(self) -> list[BackendServer]:
-        """Returns all servers, also draining ones."""
-        return [held.server for held in self._held.values()]
+        """Returns all servers, including draining servers."""
+        return [held.server for held in self._entries.values()]
 
     def take_configuration(self, version: int, data: bytes) -> bool:
-        """Takes a configuration; returns whether it is news.
+        """Applies a configuration; returns whether it replaced the current one.
 
-        An older one is passed over: within the life of a process the
+        An older configuration is ignored: within the life of a process the
         configuration never goes back.
 
         Raises:
-            ValueError: if it cannot be read.
+            ValueError: if it cannot be decoded.
         """
         if version <= self._configuration[0]:
             return False
-        self._unread_configuration = version
+        self._unreadable_configuration_version = version
         catalog = self._decode_catalog(data)
-        self._unread_configuration = 0
+        self._unreadable_configuration_version = 0
         if self.catalog is not None and catalog.version < self.catalog.version:
             return False
         self._configuration = (version, data)
@@ -195,13 +200,15 @@
 
     def take_changes(
         self, rows: Iterable[ServerRow], version: int
-    ) -> list[ServerNews]:
-        """Takes changed rows in the store's order; returns what is news.
-
-        An instance that was cut off gets all changes since its last call,
-        though others have told it of many. An old row among them would bring
-        back a server that is known to have left, and the row's removal, just
-        after the return, would pass for a lapse: in use for 2.2 s more.
+    ) -> list[ServerChange]:
+        """Applies changed rows in the store's order; returns their effects.
+
+        An instance that was cut off from the store receives all changes since
+        its last call, although it has already learned of many from other
+        instances. Without a check, an old row among them would bring back a
+        server that is known to have left, and the removal of that row, just
+        after the store's return, would be taken for a lapse: the server would
+        stay in use for 2.2 s more.
         """
         rows = list(rows)
         dropped = {row.id: row.version for row in rows if row.data is None}
@@ -210,273 +217,296 @@
             row
             for row in rows
             if row.data is None
-            or row.id in self._held
+            or row.id in self._entries
             or row.version >= max(since, dropped.get(row.id, 0))
         ]
-        return self._take(current, version)
+        return self._apply(current, version)
 
-    def _take(
+    def _apply(
         self, rows: Iterable[ServerRow], version: int
-    ) -> list[ServerNews]:
-        # A row that cannot be read names no server to use; the others hold.
-        taken = (self._take_row(row) for row in rows)
-        news = [item for item in taken if item is not None]
-        self._servers_known = True
+    ) -> list[ServerChange]:
+        # An unreadable row makes its own server unusable; the other rows apply.
+        taken = (self._apply_row(row) for row in rows)
+        changes = [change for change in taken if change is not None]
+        self._servers_received = True
         self._servers_version = max(self._servers_version, version)
         self._rebuild()
-        return news
+        return changes
 
     def take_all(
         self, rows: Iterable[ServerRow], version: int
-    ) -> list[ServerNews]:
-        """Takes all rows as of one moment; returns what is news.
+    ) -> list[ServerChange]:
+        """Applies a full read of the table; returns the effects.
 
-        Rows that are missing are gone.
+        Servers whose rows are missing are treated as removed.
         """
         if version < self._servers_version:
             return []
         rows = list(rows)
         present = {row.id for row in rows}
-        if self._gone_since is None:
-            self._gone_since = version
+        if self._removals_complete_since is None:
+            self._removals_complete_since = version
         gone = [
             ServerRow(name, version, None)
-            for name in self._held
+            for name in self._entries
             if name not in present and name not in self._lapsed
         ]
-        return self._take([*rows, *gone], version)
+        return self._apply([*rows, *gone], version)
 
-    def store_lost(self) -> None:
-        """Notes that the store does not answer."""
-        self._touch = Touch.LOST
-        self._touch_since = None
-        self._was_lost = True
+    def mark_store_unreachable(self) -> None:
+        """Records that the store is unreachable."""
+        self._store_contact = Touch.LOST
+        self._store_reachable_since = None
+        self._had_outage = True
 
-    def store_regained(self, now: float) -> None:
-        """Notes that the store answers, for the first time or again."""
-        if self._touch_since is not None:
+    def mark_store_reachable(self, now: float) -> None:
+        """Records that the store is reachable, for the first time or again."""
+        if self._store_reachable_since is not None:
             return
-        self._touch = Touch.THERE
-        self._touch_since = now
+        self._store_contact = Touch.THERE
+        self._store_reachable_since = now
 
     def expire(self, now: float) -> list[BackendServer]:
-        """Drops servers that stayed away too long after an outage."""
-        since = self._touch_since
+        """Removes servers that did not renew their row after an outage."""
+        since = self._store_reachable_since
         if since is None or now < since + RETURN_GRACE_S:
             return []
-        self._touch = Touch.SETTLED
-        over = [self._held.pop(name) for name in self._lapsed]
-        for held in over:
-            self._note_gone(held.row.id, self._servers_version)
+        self._store_contact = Touch.SETTLED
+        lapsed = [self._entries.pop(name) for name in self._lapsed]
+        for held in lapsed:
+            self._record_removal(held.row.id, self._servers_version)
         self._lapsed.clear()
-        if over:
+        if lapsed:
             self._rebuild()
-        return [held.server for held in over]
+        return [held.server for held in lapsed]
 
-    def behind(self, other: Standing) -> bool:
-        """Returns whether an instance of this standing knows more."""
+    def is_behind(self, other: Standing) -> bool:
+        """Returns whether an instance with this standing has newer state."""
         if other.configuration_version > self._configuration[0]:
             return True
-        if self._doubted and other.servers_version >= self._servers_version:
+        if (
+            self._digest_mismatch
+            and other.servers_version >= self._servers_version
+        ):
             return True
         if (
             other.servers_version > self._servers_version
             and other.servers_digest != self._digest
         ):
             return True
-        return other.touch == Touch.SETTLED and self._asks(
+        return other.touch == Touch.SETTLED and self._needs_settled_list(
             other.servers_version
         )
 
     @property
-    def complete_until(self) -> int:
-        """Version after which another's changes are enough; 0 if none is.
+    def delta_base_version(self) -> int:
+        """Version since which a delta is sufficient; 0 to fetch all rows.
 
-        Rows that lapsed here may be gone there for longer.
+        With lapsed rows a delta does not suffice: such a row may have been
+        removed elsewhere before that version.
         """
-        if self._doubted or self._lapsed or not self._servers_known:
+        if self._digest_mismatch or self._lapsed or not self._servers_received:
             return 0
         return self._servers_version
 
-    def export(self, known: int = 0, since: int = 0) -> Snapshot:
-        """Returns what this instance knows, for another one.
+    def export_snapshot(
+        self, receiver_version: int = 0, since: int = 0
+    ) -> Snapshot:
+        """Returns this registry's state for another instance.
 
         Args:
-            known: Version of the other's configuration, as the store counts.
-                The configuration is left out if it is no newer: it is most of
-                what is known, and in a series of restarts only rows change.
-            since: The store's version up to which the other knows all rows; 0
-                if it does not. Of thousands of rows a few change at a time.
+            receiver_version: Version of the receiver's configuration, as the
+                store counts. The configuration is left out unless it is newer:
+                it is most of a snapshot, and in a rolling restart only rows
+                change.
+            since: The store's version up to which the receiver has all rows; 0
+                for a full snapshot. Of thousands of rows a few change at a
+                time.
         """
         version, data = self._configuration
-        if self._gone_since is None or since < self._gone_since:
+        if (
+            self._removals_complete_since is None
+            or since < self._removals_complete_since
+        ):
             since = 0
-        gone = [name for name, at in self._gone.items() if at > since]
+        gone = [name for name, at in self._removals.items() if at > since]
         return Snapshot(
             version,
-            data if version > known else b"",
+            data if version > receiver_version else b"",
             self._servers_version,
             [
                 held.row
-                for name, held in self._held.items()
+                for name, held in self._entries.items()
                 if name not in self._lapsed and held.row.version > since
             ],
-            self._touch is Touch.SETTLED,
+            self._store_contact is Touch.SETTLED,
             since,
             gone if since else [],
             self._digest,
         )
 
-    def adopt(self, snapshot: Snapshot) -> list[ServerNews]:
-        """Takes another instance's knowledge where it is newer.
+    def adopt(self, snapshot: Snapshot) -> list[ServerChange]:
+        """Merges another instance's snapshot where it is newer.
 
         Raises:
-            ValueError: if its configuration cannot be read.
+            ValueError: if its configuration cannot be decoded.
         """
         if snapshot.configuration:
             self.take_configuration(
                 snapshot.configuration_version, snapshot.configuration
             )
         if snapshot.since:
-            return self._adopt_changes(snapshot)
-        news = self._settle(snapshot) if snapshot.settled else []
+            return self._merge_changes(snapshot)
+        changes = self._apply_settled_list(snapshot) if snapshot.settled else []
         version = snapshot.servers_version
-        if self._doubted and version == self._servers_version:
-            news += self.take_all(snapshot.servers, version)
-        self._doubted = False
+        if self._digest_mismatch and version == self._servers_version:
+            changes += self.take_all(snapshot.servers, version)
+        self._digest_mismatch = False
         if version > self._servers_version:
-            news += self.take_all(snapshot.servers, version)
-        return news
+            changes += self.take_all(snapshot.servers, version)
+        return changes
 
-    def _adopt_changes(self, snapshot: Snapshot) -> list[ServerNews]:
-        """Takes what has changed since a version that is known here whole."""
+    def _merge_changes(self, snapshot: Snapshot) -> list[ServerChange]:
+        """Applies changes since a version up to which all rows are known."""
         version = snapshot.servers_version
-        known = self._servers_version
-        if version <= known or snapshot.since > known:
+        own_version = self._servers_version
+        if version <= own_version or snapshot.since > own_version:
             return []
         gone = [
             name
             for name in snapshot.gone
-            if name in self._held and self._held[name].row.version <= version
+            if name in self._entries
+            and self._entries[name].row.version <= version
         ]
-        news = []
+        changes = []
         if snapshot.settled:
-            news = [self._drop(ServerRow(name, version, None)) for name in gone]
+            changes = [
+                self._remove(ServerRow(name, version, None)) for name in gone
+            ]
             gone = []
         removed = [ServerRow(name, version, None) for name in gone]
-        news += self._take([*snapshot.servers, *removed], version)
-        # A change that was missed before would stay missing: then all rows are
-        # asked for.
-        self._doubted = (
+        changes += self._apply([*snapshot.servers, *removed], version)
+        # A change that was missed earlier would stay missing, so a digest
+        # mismatch causes a full snapshot to be fetched.
+        self._digest_mismatch = (
             not self._lapsed and self._digest != snapshot.servers_digest
         )
-        return news
+        return changes
 
-    def _asks(self, version: int) -> bool:
-        """Returns whether a settled list as of a version may help."""
-        return version > self._consulted and any(
-            self._held[name].row.version <= version for name in self._lapsed
+    def _needs_settled_list(self, version: int) -> bool:
+        """Returns whether a settled list may resolve lapsed rows."""
+        return version > self._settled_list_version and any(
+            self._entries[name].row.version <= version for name in self._lapsed
         )
 
-    def _settle(self, snapshot: Snapshot) -> list[ServerNews]:
-        # An instance that is cut off from the store alone cannot tell a
-        # server that left from one whose row lapsed, and would keep the former
-        # until the store serves it again. The sender has had the store
-        # throughout: what its list lacks has left. Rows newer than the list
-        # are not its to judge.
+    def _apply_settled_list(self, snapshot: Snapshot) -> list[ServerChange]:
+        # An instance that is cut off from the store cannot tell a server that
+        # left from one whose row lapsed, and would keep the former until it
+        # reaches the store again. The sender has had the store throughout, so
+        # servers missing from its list have left. The list says nothing about
+        # rows that are newer than it.
         version = snapshot.servers_version
-        self._consulted = max(self._consulted, version)
+        self._settled_list_version = max(self._settled_list_version, version)
         present = {row.id for row in snapshot.servers}
-        newer = version > self._servers_version
-        doubtful = self._held if newer else self._lapsed
+        list_is_newer = version > self._servers_version
+        candidates = self._entries if list_is_newer else self._lapsed
         gone = [
             name
-            for name in doubtful
-            if name not in present and self._held[name].row.version <= version
+            for name in candidates
+            if name not in present
+            and self._entries[name].row.version <= version
         ]
-        news = [self._drop(ServerRow(name, version, None)) for name in gone]
-        if news:
+        changes = [
+            self._remove(ServerRow(name, version, None)) for name in gone
+        ]
+        if changes:
             self._rebuild()
-        return news
+        return changes
 
-    def _take_row(self, row: ServerRow) -> ServerNews | None:
-        held = self._held.get(row.id)
+    def _apply_row(self, row: ServerRow) -> ServerChange | None:
+        held = self._entries.get(row.id)
         if held is not None and held.row.version > row.version:
             return None
         if row.data is None:
-            return self._take_gone(row)
+            return self._apply_removal(row)
         before = held.server if held else None
         try:
             server = self._decode_server(row.id, row.data)
         except ValueError as exc:
-            return self._take_unreadable(row, held, str(exc))
-        if server.id in self._past:
+            return self._apply_unreadable(row, held, str(exc))
+        if server.id in self._ended_incarnations:
             return None
         if before is not None and before.id != server.id:
-            self._note_past(before)
-        self._held[row.id] = _Held(row, server)
-        self._gone.pop(row.id, None)
+            self._record_ended_incarnation(before)
+        self._entries[row.id] = _Entry(row, server)
+        self._removals.pop(row.id, None)
         self._lapsed.discard(row.id)
         if held is not None and held.usable and before == server:
             return None
-        return ServerNews(row, before, server)
-
-    def _take_unreadable(
-        self, row: ServerRow, held: _Held | None, why: str
-    ) -> ServerNews | None:
-        # The name may be that of a living server whose row someone else has
-        # overwritten. It gets no new requests until it renews its row, but it
-        # is not taken as gone: its streams go on, and so does its cache.
+        return ServerChange(row, before, server)
+
+    def _apply_unreadable(
+        self, row: ServerRow, held: _Entry | None, why: str
+    ) -> ServerChange | None:
+        # Another writer may have overwritten the row of a living server. The
+        # server gets no new requests until it renews its row, but it is not
+        # treated as gone: its streams continue and its cache records are kept.
         if held is not None:
-            self._held[row.id] = _Held(row, held.server, usable=False)
-        if self._unreadable.get(row.id) == row.version:
+            self._entries[row.id] = _Entry(row, held.server, usable=False)
+        if self._unreadable_rows.get(row.id) == row.version:
             return None
-        self._unreadable[row.id] = row.version
-        return ServerNews(row, held.server if held else None, None, why)
-
-    def _note_past(self, server: BackendServer) -> None:
-        # A row that the former incarnation sent before its end may take
-        # effect after the new one's. Rows are ordered by the store's version
-        # only, not by the servers' clocks, which may step back between two
-        # starts: so an incarnation is past because another one has followed.
-        self._past[server.id] = None
-        if len(self._past) > MAX_PAST:
-            self._past.popitem(last=False)
-
-    def _take_gone(self, row: ServerRow) -> ServerNews | None:
-        self._unreadable.pop(row.id, None)
-        held = self._held.get(row.id)
+        self._unreadable_rows[row.id] = row.version
+        return ServerChange(row, held.server if held else None, None, why)
+
+    def _record_ended_incarnation(self, server: BackendServer) -> None:
+        # A row that the former incarnation wrote before it ended may take
+        # effect after the row of its successor. Rows are ordered only by the
+        # store's version, not by the servers' clocks, which may step back
+        # between two starts. So an incarnation counts as ended once another one
+        # has replaced it.
+        self._ended_incarnations[server.id] = None
+        if len(self._ended_incarnations) > MAX_HISTORY:
+            self._ended_incarnations.popitem(last=False)
+
+    def _apply_removal(self, row: ServerRow) -> ServerChange | None:
+        self._unreadable_rows.pop(row.id, None)
+        held = self._entries.get(row.id)
         if held is None:
             return None
-        # A server cannot renew its row while the store is away, so its row
-        # may lapse though it lives and serves. Dropping it would empty the
-        # pool in an outage; it stays until it had the time to come back, or
-        # until another instance knows better.
-        in_outage = self._was_lost and self._touch is not Touch.SETTLED
+        # A server cannot renew its row while the store is unreachable, so the
+        # row may lapse although the server is alive and serving. Removing it
+        # would empty the pool during an outage. It stays until it has had time
+        # to renew its row, or until another instance's settled list shows that
+        # it has left.
+        in_outage = (
+            self._had_outage and self._store_contact is not Touch.SETTLED
+        )
         if in_outage and not held.server.draining:
             if row.id in self._lapsed:
                 return None
             self._lapsed.add(row.id)
-            return ServerNews(row, held.server, held.server, kept=True)
-        return self._drop(row)
+            return ServerChange(row, held.server, held.server, kept=True)
+        return self._remove(row)
 
-    def _drop(self, row: ServerRow) -> ServerNews:
+    def _remove(self, row: ServerRow) -> ServerChange:
         self._lapsed.discard(row.id)
-        self._note_gone(row.id, row.version)
-        return ServerNews(row, self._held.pop(row.id).server, None)
-
-    def _note_gone(self, name: str, version: int) -> None:
-        self._gone.pop(name, None)
-        self._gone[name] = version
-        while len(self._gone) > MAX_PAST:
-            _, oldest = self._gone.popitem(last=False)
-            self._gone_since = max(self._gone_since or 0, oldest)
+        self._record_removal(row.id, row.version)
+        return ServerChange(row, self._entries.pop(row.id).server, None)
+
+    def _record_removal(self, name: str, version: int) -> None:
+        self._removals.pop(name, None)
+        self._removals[name] = version
+        while len(self._removals) > MAX_HISTORY:
+            _, oldest = self._removals.popitem(last=False)
+            self._removals_complete_since = max(
+                self._removals_complete_since or 0, oldest
+            )
 
     def _rebuild(self) -> None:
         self._by_service = {}
         digest = xxhash.xxh64()
-        for name in sorted(self._held):
-            held = self._held[name]
+        for name in sorted(self._entries):
+            held = self._entries[name]
             if name not in self._lapsed:
                 digest.update(f"{name}:{held.row.version};".encode())
             if held.usable and not held.server.draining:
--- a/src/jasminerelay/standings.py
+++ b/src/jasminerelay/standings.py
@@ -1,7 +1,7 @@
-"""What the other instances have last said of their knowledge.
+"""The versions of the data that the other instances last reported.
 
-Pure. Says from whom to fetch what is missing here, which instances have lost
-the store, and whether a newer configuration is known somewhere.
+This module does no I/O. It decides from which instance to fetch missing data,
+which instances have lost the store, and whether a newer configuration exists.
 """
 
 from collections.abc import Collection
@@ -10,93 +10,102 @@
 from jasminerelay.registry import Registry, Touch
 from jasminerelay.schema.messages import Standing
 
-BEHIND_S = 0.25
-"""How long an instance that is behind waits for the store before it asks
-another instance: the store's own word usually comes within milliseconds."""
+FETCH_DELAY_S = 0.25
+"""How long an instance that is behind waits for the store before it fetches
+from another instance. The store's own answer usually arrives within
+milliseconds."""
 
-FRESH_S = 1.5
-"""Age up to which another instance's newer version counts, before it is here.
-"""
+NEWER_REPORT_VALID_S = 1.5
+"""How long another instance's report of a newer configuration counts while that
+configuration has not arrived here."""
 
 ISOLATED_S = 1.5
-"""Silence of all others after which an instance takes itself for cut off."""
+"""Time without a message from any other instance after which an instance
+considers itself isolated."""
 
 
-class Standings:
-    """The others' last words on their knowledge, beside the own one."""
+class PeerStandings:
+    """The other instances' latest reports, compared with the local registry."""
 
     def __init__(self, registry: Registry, freshness: Freshness):
-        """Makes it for an instance that has heard of nobody.
+        """Creates the state of an instance that has received no message.
 
         Args:
-            registry: The own knowledge.
-            freshness: Takes the ages that others tell.
+            registry: The local data.
+            freshness: Receives the ages that other instances report.
         """
         self._registry = registry
         self._freshness = freshness
-        self._heard: dict[str, tuple[float, Standing]] = {}
+        self._reports: dict[str, tuple[float, Standing]] = {}
         self._behind_since: float | None = None
-        self._behind_of = ""
+        self._newer_peer = ""
 
     def hear(
         self, sender: str, standing: Standing, now: float, at: float
     ) -> None:
-        """Takes a word.
+        """Records the standing that another instance reported.
 
         Args:
-            sender: Who said it.
-            standing: Its knowledge.
+            sender: The reporting instance.
+            standing: The versions, digest and age of its data.
             now: Steady time.
-            at: The same by the clock of `freshness.now_s`.
+            at: Boot time at the same moment, in seconds.
         """
-        self._heard[sender] = (now, standing)
-        if self._registry.behind(standing):
+        self._reports[sender] = (now, standing)
+        if self._registry.is_behind(standing):
             self._behind_since = self._behind_since or now
-            self._behind_of = sender
+            self._newer_peer = sender
         elif standing.age_ms >= 0:
             self._freshness.told(standing.age_ms / 1000, at)
 
-    def loses_store(self, sender: str, standing: Standing) -> bool:
-        """Returns whether a word is its sender's first of a lost store."""
+    def reports_store_loss(self, sender: str, standing: Standing) -> bool:
+        """Returns whether a sender newly reports that it has lost the store."""
         if standing.touch != Touch.LOST:
             return False
-        heard = self._heard.get(sender)
-        return heard is None or heard[1].touch != Touch.LOST
+        report = self._reports.get(sender)
+        return report is None or report[1].touch != Touch.LOST
 
     def without_store(self) -> list[str]:
         """Returns the other instances that have lost the store."""
         return [
             name
-            for name, (_, standing) in self._heard.items()
+            for name, (_, standing) in self._reports.items()
             if standing.touch == Touch.LOST
         ]
 
     def knows_newer(self, now: float) -> bool:
-        """Returns whether another has just told of a newer configuration."""
+        """Returns whether a newer configuration was reported recently."""
         own = self._registry.standing.configuration_version
         return any(
-            now - heard < FRESH_S and standing.configuration_version > own
-            for heard, standing in self._heard.values()
+            now - heard_at < NEWER_REPORT_VALID_S
+            and standing.configuration_version > own
+            for heard_at, standing in self._reports.values()
         )
 
     def ahead(self, now: float) -> str | None:
-        """Returns an instance to fetch from, once this one is behind."""
-        if self._behind_since is None or now - self._behind_since < BEHIND_S:
+        """Returns the instance to fetch from; None if there is none now.
+
+        There is one once this instance has been behind for long enough.
+        """
+        if (
+            self._behind_since is None
+            or now - self._behind_since < FETCH_DELAY_S
+        ):
             return None
         self._behind_since = None
-        heard = self._heard.get(self._behind_of)
-        if heard is None or not self._registry.behind(heard[1]):
+        report = self._reports.get(self._newer_peer)
+        if report is None or not self._registry.is_behind(report[1]):
             return None
-        return self._behind_of
+        return self._newer_peer
 
     def isolated(self, now: float) -> bool:
-        """Returns whether all others have fallen silent."""
-        if not self._heard:
+        """Returns whether no other instance has sent a message lately."""
+        if not self._reports:
             return False
-        latest = max(heard for heard, _ in self._heard.values())
+        latest = max(heard_at for heard_at, _ in self._reports.values())
         return now - latest > ISOLATED_S
 
     def keep(self, names: Collection[str]) -> None:
-        """Forgets all instances but the named ones."""
-        for name in [name for name in self._heard if name not in names]:
-            del self._heard[name]
+        """Drops the reports of all instances but the named ones."""
+        for name in [name for name in self._reports if name not in names]:
+            del self._reports[name]
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -306,13 +306,13 @@
         "registry",
         "if in_outage and not held.server.draining:",
         "if False:",
-        "test_following.RegistryTest.test_lapsed_in_outage",
+        "test_following.RegistryTest.test_rows_lapsed_during_outage",
     ),
     Safeguard(
         "a settled list decides on servers without a row",
         "registry",
-        "news = self._settle(snapshot) if snapshot.settled else []",
-        "news = []",
+        "self._apply_settled_list(snapshot) if snapshot.settled else []",
+        "[]",
         "test_platforminstances.StoreOutageTest"
         ".test_removed_server_while_cut_off",
     ),
@@ -321,7 +321,7 @@
         "registry",
         "if since is None or now < since + RETURN_GRACE_S:",
         "if since is None:",
-        "test_following.SettledTest.test_fresh_instance_cannot_tell",
+        "test_following.SettledTest.test_list_of_a_fresh_instance_is_not_settled",
     ),
     Safeguard(
         "the configuration never goes back",
@@ -369,7 +369,7 @@
     Safeguard(
         "streams are moved from leaving servers",
         "following",
-        "self.on_leaving(item.after.id)",
+        "self.on_leaving(change.after.id)",
         "pass",
         "test_platform.FailuresTest.test_stream_is_moved_from_leaving_server",
     ),
@@ -397,7 +397,7 @@
     Safeguard(
         "an instance that is behind asks another",
         "standings",
-        "if self._registry.behind(standing):",
+        "if self._registry.is_behind(standing):",
         "if False:",
         "test_platforminstances.StoreOutageTest.test_learns_from_another_instance",
     ),
@@ -489,31 +489,31 @@
     Safeguard(
         "a waiting call is renewed once another has failed",
         "following",
-        "            self._renew()\n            self.on_news()\n",
+        "            self._abort_waiting_calls()\n            self.on_news()\n",
         "            self.on_news()\n",
         "test_following.FollowerTest"
-        ".test_call_that_an_outage_left_without_answer",
+        ".test_waiting_call_left_unanswered_by_outage",
     ),
     Safeguard(
         "the store is asked once the knowledge is too old",
         "following",
-        "        if self._freshness.age_s(now) > patience_s:\n",
+        "        if self._freshness.age_s(now) > max_age_s:\n",
         "        if False:\n",
         "test_staleversions.StaleVersionsTest.test_few_instances",
     ),
     Safeguard(
         "words read after a standstill prove nothing",
         "freshness",
-        "if self._stood_still(now) or now < self._deaf_until:",
+        "if self._was_stalled(now) or now < self._ignore_ages_until:",
         "if False:",
-        "test_freshness.FreshnessTest.test_words_read_after_a_standstill",
+        "test_freshness.FreshnessTest.test_messages_read_after_a_stall",
     ),
     Safeguard(
         "one table's answer does not vouch for another",
         "freshness",
-        "            if read.version <= known.version\n",
+        "            if read.version <= table_read.version\n",
         "",
-        "test_freshness.FreshnessTest.test_change_elsewhere_proves_nothing",
+        "test_freshness.FreshnessTest.test_answer_does_not_cover_a_change_of_the_other_table",
     ),
     Safeguard(
         "a stop is answered while the program loads",
@@ -534,7 +534,7 @@
         "registry",
         "or row.version >= max(since, dropped.get(row.id, 0))",
         "or True",
-        "test_following.SettledTest.test_history_heard_of_already",
+        "test_following.SettledTest.test_history_already_received_from_others",
     ),
     Safeguard(
         "only knowledge of a known age is good for a final refusal",
@@ -569,7 +569,7 @@
     Safeguard(
         "a late word of a former incarnation is passed over",
         "registry",
-        "if server.id in self._past:",
+        "if server.id in self._ended_incarnations:",
         "if False:",
         "test_serverrows.IncarnationTest.test_late_word_of_the_former_one",
     ),
@@ -583,7 +583,7 @@
     Safeguard(
         "an unreadable row is noted once",
         "registry",
-        "if self._unreadable.get(row.id) == row.version:",
+        "if self._unreadable_rows.get(row.id) == row.version:",
         "if False:",
         "test_serverrows.ForeignRowTest.test_same_row_read_again_is_noted_once",
     ),
@@ -670,9 +670,9 @@
     Safeguard(
         "a doubt about the store ends a long pause",
         "following",
-        "        return doubt.is_set()\n",
+        "        return abort_waits.is_set()\n",
         "        return False\n",
-        "test_following.FollowerTest.test_doubt_ends_a_long_pause",
+        "test_following.FollowerTest.test_store_loss_ends_a_long_pause",
     ),
     Safeguard(
         "owners are told again that nothing is left",
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Following the store's tables through outages and lost history."""
+"""Tests of following the store's tables through outages and lost history."""
 
 import contextlib
 import random
@@ -27,7 +27,7 @@
 
 
 def decode(name: str, data: bytes) -> BackendServer:
-    """Reads a row of the form service:phase."""
+    """Decodes a row of the form service:phase."""
     service, _, phase = data.decode().partition(":")
     if not service:
         raise ValueError(f"row {name} is empty")
@@ -35,18 +35,18 @@
 
 
 def silent_log() -> EventLog:
-    """Returns a log that writes nothing."""
+    """Returns a log that discards everything."""
     log = types.SimpleNamespace()
     log.info = log.trouble = lambda event, **fields: None
     return log
 
 
 SILENT = object()
-"""Stands for a call that is never answered."""
+"""Marks a call that is never answered."""
 
 
-class Script:
-    """A table that answers as told, one answer a call."""
+class ScriptedTable:
+    """A table that gives prepared answers, one for each call."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -73,9 +73,9 @@
 
 
 class FollowerTest(unittest.IsolatedAsyncioTestCase):
-    """One table."""
+    """Following one table."""
 
-    async def follow(self, script: Script) -> Registry:
+    async def follow(self, script: ScriptedTable) -> Registry:
         registry = Registry(lambda data: None, decode)
         log = silent_log()
         state = StoreState(registry, Freshness(["servers"]), log)
@@ -84,14 +84,14 @@
             "servers", script, state, Counters(Statsd()), random.Random(1)
         )
         self.state = state
-        following_s = (
-            following.RETRY_LEAST_S,
-            following.RETRY_MOST_S,
-            following.STALE_PAUSE_S,
+        saved = (
+            following.RETRY_MIN_S,
+            following.RETRY_MAX_S,
+            following.STALE_READ_PAUSE_S,
             following.GATHER_S,
         )
-        following.RETRY_LEAST_S = following.RETRY_MOST_S = 0.0
-        following.STALE_PAUSE_S = following.GATHER_S = 0.0
+        following.RETRY_MIN_S = following.RETRY_MAX_S = 0.0
+        following.STALE_READ_PAUSE_S = following.GATHER_S = 0.0
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(
@@ -104,21 +104,22 @@
                 group.cancel_scope.cancel()
         finally:
             (
-                following.RETRY_LEAST_S,
-                following.RETRY_MOST_S,
-                following.STALE_PAUSE_S,
+                following.RETRY_MIN_S,
+                following.RETRY_MAX_S,
+                following.STALE_READ_PAUSE_S,
                 following.GATHER_S,
-            ) = following_s
+            ) = saved
         return registry
 
     async def test_removal_after_outage(self) -> None:
-        # Callers' requests reach a server later than it may be used. The
-        # store is away and comes back; nothing changes for some seconds, then
-        # a server leaves without a word and its row goes. An instance whose
-        # first call after the outage waits for a change learns of the return
-        # with that very change, and keeps the server as if it had lapsed.
+        # Guards against requests to a server that has left. The store is
+        # unreachable and returns; nothing changes for some seconds, then a
+        # server leaves without announcing it and its row is removed. If the
+        # first call after the outage waits for a change, the instance learns of
+        # the store's return together with that removal, and keeps the server as
+        # if its row had lapsed.
         row = ServerRow("s", 1, b"pool:ready")
-        script = Script(
+        script = ScriptedTable(
             Page((row,), 1),
             Page((), 1),
             StoreError("away"),
@@ -132,14 +133,14 @@
         registry.expire(float("inf"))
         self.assertEqual(registry.servers(), [])
 
-    async def test_call_that_an_outage_left_without_answer(self) -> None:
-        # A server says that it leaves, and two seconds later a caller's
-        # request reaches it. The store was silent for some seconds; the call
-        # that waited for changes of servers then stayed without an answer for
-        # good, on a connection that looked alive, while the call for the
-        # configuration had failed and worked again long ago.
+    async def test_waiting_call_left_unanswered_by_outage(self) -> None:
+        # Guards against requests to a server that announced two seconds earlier
+        # that it leaves. The store was unresponsive for some seconds, and the
+        # call that waited for changes of servers stayed unanswered for good, on
+        # a connection that looked alive, while the call for the configuration
+        # had failed and succeeded again long before.
         row = ServerRow("s", 1, b"pool:ready")
-        script = Script(
+        script = ScriptedTable(
             Page((row,), 1),
             Page((), 1),
             SILENT,
@@ -151,33 +152,37 @@
         self.assertTrue(registry.server("s").draining)
         self.assertEqual(script.waits[3], 0.0)
 
-    async def test_doubt_ends_a_long_pause(self) -> None:
-        # Among many instances most pause for seconds after a change, since
-        # others tell them. The store goes away in such a pause; another
-        # instance says so. This one must ask at once: rows that lapse before
-        # it notices would pass for removals, and the pool would be empty.
+    async def test_store_loss_ends_a_long_pause(self) -> None:
+        # Guards against an empty pool. In a large platform most instances pause
+        # for seconds after a change, since others forward changes to them. The
+        # store becomes unreachable during such a pause, and another instance
+        # reports it. This instance must call at once: rows that lapse before it
+        # notices the outage would be taken for removals.
         async with self.pausing(lambda: Manner(1.0, 60.0)) as (script, state):
             await anyio.sleep(0.05)
             self.assertEqual(len(script.waits), 2)
             state.failed("op", "silent")
-            await self.asked(script, 3)
+            await self.wait_for_calls(script, 3)
         self.assertEqual(script.waits[2], 0.0)
 
-    async def test_silent_leaders_end_a_long_pause(self) -> None:
-        # Those who follow the store for this instance die while it pauses. A
-        # server that leaves then must still be known in two seconds, so the
-        # pause ends once they have been silent, and not after its full time.
+    async def test_unresponsive_followers_end_a_long_pause(self) -> None:
+        # Guards against late news of a leaving server. The instances that
+        # follow the store for this one die while it pauses. A server that
+        # leaves then must still be known within two seconds, so the pause ends
+        # once they are unresponsive, not after its full time.
         manners = [Manner(1.0, 60.0)]
         async with self.pausing(lambda: manners[0]) as (script, _):
             manners[0] = Manner(1.0, 0.0)
-            await self.asked(script, 3)
+            await self.wait_for_calls(script, 3)
 
     @contextlib.asynccontextmanager
     async def pausing(self, manner):
-        """Gives the calls of a follower that pauses as told, and its state."""
+        """Yields the calls of a follower during its pause, and its state."""
         row = ServerRow("s", 1, b"pool:ready")
         changed = ServerRow("s", 2, b"pool:ready")
-        script = Script(Page((row,), 1), Page((changed,), 2), Page((), 2))
+        script = ScriptedTable(
+            Page((row,), 1), Page((changed,), 2), Page((), 2)
+        )
         registry = Registry(lambda data: None, decode)
         log = silent_log()
         state = StoreState(registry, Freshness(["servers"]), log)
@@ -191,20 +196,22 @@
                 group.start_soon(
                     follower.run, feed.take_all_servers, feed.take_servers
                 )
-                await self.asked(script, 2)
+                await self.wait_for_calls(script, 2)
                 yield script, state
                 group.cancel_scope.cancel()
 
-    async def asked(self, script: Script, count: int) -> None:
-        """Waits until the store has been asked so often."""
+    async def wait_for_calls(self, script: ScriptedTable, count: int) -> None:
+        """Waits until the store has received a number of calls."""
         while len(script.waits) < count:
             await anyio.sleep(0.001)
 
     async def test_lost_history(self) -> None:
-        # A server leaves while the store forgets its history. The follower is
-        # told so, reads all rows and must notice that one is missing.
+        # Guards against a server that stays in use after it left. The server
+        # leaves while the store discards its history. The follower is notified
+        # of the lost history, reads all rows and must notice that one is
+        # missing.
         rows = [ServerRow(name, 1, b"pool:ready") for name in "ab"]
-        script = Script(
+        script = ScriptedTable(
             Page(tuple(rows), 1),
             HistoryGoneError("gone"),
             Page((rows[0],), 5),
@@ -213,11 +220,12 @@
         self.assertEqual([s.id for s in registry.servers()], ["a"])
 
     async def test_stale_read(self) -> None:
-        # After lost history the store may answer from an older moment. Taking
-        # that would bring back a server that has left; it is read again.
+        # After lost history the store may answer with an older version.
+        # Applying that would bring back a server that has left, so it is read
+        # again.
         ready = ServerRow("a", 1, b"pool:ready")
         leaving = ServerRow("a", 4, b"pool:leaving")
-        script = Script(
+        script = ScriptedTable(
             Page((ready,), 1),
             Page((leaving,), 4),
             HistoryGoneError("gone"),
@@ -229,8 +237,8 @@
         self.assertEqual(registry.servers_of("pool"), [])
 
     async def test_unreadable_row(self) -> None:
-        # One row that cannot be read must not cost the others.
-        script = Script(
+        # One unreadable row must not hide the other rows.
+        script = ScriptedTable(
             Page((ServerRow("a", 1, b""), ServerRow("b", 2, b"pool:ready")), 2),
         )
         registry = await self.follow(script)
@@ -238,11 +246,12 @@
 
 
 class FeedTest(unittest.TestCase):
-    """What the lines tell of rows that are taken or passed over."""
+    """Log lines about rows that are applied or ignored."""
 
     def test_configuration_passed_over(self) -> None:
-        # An operator finds an old configuration in force. A line tells a row
-        # that came and was passed over from one that never came.
+        # An operator finds an old configuration in force. The log line
+        # distinguishes a row that arrived and was ignored from one that never
+        # arrived.
         lines = []
         log = types.SimpleNamespace(
             trouble=lambda event, **fields: lines.append((event, fields))
@@ -261,7 +270,7 @@
 
 
 class RegistryTest(unittest.TestCase):
-    """Knowledge from the store and from other instances."""
+    """State received from the store and from other instances."""
 
     def setUp(self) -> None:
         self.registry = Registry(self._catalog, decode)
@@ -282,17 +291,18 @@
             self.registry.take_configuration(2, b"?")
         self.assertTrue(self.registry.take_configuration(3, b"3"))
 
-    def test_lapsed_in_outage(self) -> None:
-        # The pool must not look empty since the store was away: servers could
-        # not renew their rows, which lapsed, but they serve all the same.
-        # Those that are back in time stay without a gap; the others go.
+    def test_rows_lapsed_during_outage(self) -> None:
+        # Guards against an empty pool after a store outage: servers could not
+        # renew their rows, which lapsed, but they are alive and serving.
+        # Servers that renew in time are used without a gap; the others are
+        # removed.
         for name in "ab":
             self.registry.take_changes([ServerRow(name, 1, b"pool:ready")], 1)
-        self.registry.store_lost()
+        self.registry.mark_store_unreachable()
         gone = [ServerRow(name, 2, None) for name in "ab"]
         self.registry.take_changes(gone, 2)
         self.assertEqual(len(self.registry.servers_of("pool")), 2)
-        self.registry.store_regained(10.0)
+        self.registry.mark_store_reachable(10.0)
         self.assertEqual(self.registry.expire(10.0 + RETURN_GRACE_S / 2), [])
         self.registry.take_changes([ServerRow("a", 3, b"pool:ready")], 3)
         gone = self.registry.expire(10.1 + RETURN_GRACE_S)
@@ -300,28 +310,28 @@
         left = [server.id for server in self.registry.servers_of("pool")]
         self.assertEqual(left, ["a"])
 
-    def test_gone_in_calm(self) -> None:
-        # With the store at hand a row that goes means a server that leaves.
+    def test_removed_row_without_outage(self) -> None:
+        # While the store is reachable a removed row means a server that leaves.
         self.registry.take_changes([ServerRow("a", 1, b"pool:ready")], 1)
         self.registry.take_changes([ServerRow("a", 2, None)], 2)
         self.assertEqual(self.registry.servers(), [])
 
     def test_adopts_newer_only(self) -> None:
-        # An instance that the store turns away learns from another one that a
-        # server leaves; an older word must not bring the server back.
+        # An instance that the store rejects learns from another one that a
+        # server leaves; an older message must not bring the server back.
         other = Registry(self._catalog, decode)
         for registry in (self.registry, other):
             registry.take_changes([ServerRow("a", 1, b"pool:ready")], 1)
-        before = other.export()
+        before = other.export_snapshot()
         other.take_changes([ServerRow("a", 2, b"pool:leaving")], 2)
         other.take_configuration(3, b"3")
-        self.registry.adopt(other.export())
+        self.registry.adopt(other.export_snapshot())
         self.assertTrue(self.registry.server("a").draining)
         self.assertEqual(self.registry.catalog.version, 3)
         self.registry.adopt(before)
         self.assertTrue(self.registry.server("a").draining)
 
-    def test_standing_tells_difference(self) -> None:
+    def test_standing_digest_changes_with_rows(self) -> None:
         empty = self.registry.standing
         self.registry.take_changes([ServerRow("a", 1, b"pool:ready")], 1)
         self.assertNotEqual(
@@ -330,130 +340,133 @@
 
 
 class SettledTest(unittest.TestCase):
-    """Who may judge that a server without a row is gone.
+    """Which instances may decide that a server without a row has left.
 
-    Callers' requests reach a server long after it left: its row was removed,
-    and an instance that had lost the store took the removal for the lapse of
-    a living server. An instance that has had the store throughout can tell
-    the two apart, so its list decides; nobody else's does.
+    Guards against requests that reach a server long after it left: its row was
+    removed, and an instance that had lost the store took the removal for the
+    lapse of a living server's row. An instance that has had the store
+    throughout can tell the two apart, so its list decides, and no other.
     """
 
     def setUp(self) -> None:
         self.there = self.instance()
-        self.cut = self.instance()
+        self.isolated = self.instance()
         self.there.expire(RETURN_GRACE_S)
-        self.cut.store_lost()
+        self.isolated.mark_store_unreachable()
 
     @staticmethod
     def instance() -> Registry:
-        """Returns an instance that the store answers first at 0 s."""
+        """Returns the registry of an instance connected from 0 s on."""
         registry = Registry(lambda data: None, decode)
-        registry.store_regained(0.0)
+        registry.mark_store_reachable(0.0)
         rows = [ServerRow(name, 1, b"pool:ready") for name in "ab"]
         registry.take_all(rows, 2)
         return registry
 
     @staticmethod
-    def ids(registry: Registry) -> list[str]:
+    def usable_ids(registry: Registry) -> list[str]:
         return [server.id for server in registry.servers_of("pool")]
 
-    def hear(self, other: Registry) -> None:
-        """Lets the cut off instance take another one's list, if it asks."""
-        if self.cut.behind(other.standing):
-            self.cut.adopt(other.export())
+    def merge_from(self, other: Registry) -> None:
+        """Merges another instance's snapshot if it is newer."""
+        if self.isolated.is_behind(other.standing):
+            self.isolated.adopt(other.export_snapshot())
 
-    def test_removed_before_the_others_eyes(self) -> None:
+    def test_removal_seen_by_a_connected_instance(self) -> None:
         self.there.take_changes([ServerRow("a", 5, None)], 5)
-        self.hear(self.there)
-        self.assertEqual(self.ids(self.cut), ["b"])
-
-    def test_heard_from_one_that_cannot_tell(self) -> None:
-        # All have lost the store; one has it back and finds a row missing. It
-        # may be that of a living server, so nobody drops it yet. After the
-        # grace time that one's list is settled, though nothing in it changed.
-        self.there.store_lost()
-        self.there.store_regained(20.0)
+        self.merge_from(self.there)
+        self.assertEqual(self.usable_ids(self.isolated), ["b"])
+
+    def test_list_of_an_unsettled_instance(self) -> None:
+        # All instances lost the store. One reaches it again and finds a row
+        # missing. That row may belong to a living server, so no instance
+        # removes the server yet. After the grace period that instance's list is
+        # settled, although nothing in it changed.
+        self.there.mark_store_unreachable()
+        self.there.mark_store_reachable(20.0)
         self.there.take_changes([ServerRow("a", 5, None)], 5)
-        self.hear(self.there)
-        self.assertEqual(self.ids(self.cut), ["a", "b"])
-        self.assertFalse(self.cut.behind(self.there.standing))
+        self.merge_from(self.there)
+        self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
+        self.assertFalse(self.isolated.is_behind(self.there.standing))
         self.there.expire(20.0 + RETURN_GRACE_S)
-        self.hear(self.there)
-        self.assertEqual(self.ids(self.cut), ["b"])
+        self.merge_from(self.there)
+        self.assertEqual(self.usable_ids(self.isolated), ["b"])
 
-    def test_found_missing_at_its_own_return(self) -> None:
-        # The cut off instance hears of nobody until its return, and reads all
-        # rows as of a newer moment than the others have had news of.
+    def test_row_missing_after_its_own_reconnection(self) -> None:
+        # The isolated instance receives no message until it reaches the store
+        # again, and then reads all rows at a newer version than the others have
+        # been notified of.
         self.there.take_changes([ServerRow("a", 5, None)], 5)
-        self.cut.store_regained(20.0)
+        self.isolated.mark_store_reachable(20.0)
         rows = [ServerRow("b", 1, b"pool:ready")]
-        self.cut.take_all(rows, 9)
-        self.assertEqual(self.ids(self.cut), ["a", "b"])
-        self.hear(self.there)
-        self.assertEqual(self.ids(self.cut), ["b"])
+        self.isolated.take_all(rows, 9)
+        self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
+        self.merge_from(self.there)
+        self.assertEqual(self.usable_ids(self.isolated), ["b"])
 
     def test_list_from_before_the_removal(self) -> None:
-        # The other one has not heard of the removal yet. Its list decides
-        # nothing, and is not asked for again until it is newer.
-        self.cut.take_changes([ServerRow("a", 5, None)], 5)
-        self.hear(self.there)
-        self.assertEqual(self.ids(self.cut), ["a", "b"])
-        self.assertFalse(self.cut.behind(self.there.standing))
+        # The other instance has not received the removal yet. Its list decides
+        # nothing, and is not fetched again until it is newer.
+        self.isolated.take_changes([ServerRow("a", 5, None)], 5)
+        self.merge_from(self.there)
+        self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
+        self.assertFalse(self.isolated.is_behind(self.there.standing))
         self.there.take_changes([ServerRow("a", 5, None)], 5)
-        self.hear(self.there)
-        self.assertEqual(self.ids(self.cut), ["b"])
+        self.merge_from(self.there)
+        self.assertEqual(self.usable_ids(self.isolated), ["b"])
 
     def test_row_newer_than_the_list(self) -> None:
-        # A server came after the list was made, and its row lapsed: the list
-        # cannot know it.
-        self.cut.take_changes([ServerRow("c", 7, b"pool:ready")], 7)
-        self.cut.take_changes([ServerRow("c", 8, None)], 8)
+        # A server started after the list was made, and its row lapsed: the list
+        # cannot contain it.
+        self.isolated.take_changes([ServerRow("c", 7, b"pool:ready")], 7)
+        self.isolated.take_changes([ServerRow("c", 8, None)], 8)
         self.there.take_changes([ServerRow("a", 5, None)], 5)
-        self.assertFalse(self.cut.behind(self.there.standing))
-        self.cut.adopt(self.there.export())
-        self.assertEqual(self.ids(self.cut), ["a", "b", "c"])
+        self.assertFalse(self.isolated.is_behind(self.there.standing))
+        self.isolated.adopt(self.there.export_snapshot())
+        self.assertEqual(self.usable_ids(self.isolated), ["a", "b", "c"])
 
-    def test_fresh_instance_cannot_tell(self) -> None:
-        # An instance starts just after an outage and reads a table in which
-        # the row of a living server is missing. Others keep that server.
+    def test_list_of_a_fresh_instance_is_not_settled(self) -> None:
+        # An instance starts just after an outage and reads a table that lacks
+        # the row of a living server. Other instances keep that server.
         fresh = Registry(lambda data: None, decode)
-        fresh.store_regained(20.0)
+        fresh.mark_store_reachable(20.0)
         fresh.take_all([ServerRow("b", 1, b"pool:ready")], 9)
         fresh.expire(20.1)
-        self.hear(fresh)
-        self.assertEqual(self.ids(self.cut), ["a", "b"])
+        self.merge_from(fresh)
+        self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
         fresh.expire(20.0 + RETURN_GRACE_S)
-        self.hear(fresh)
-        self.assertEqual(self.ids(self.cut), ["b"])
-
-    def test_history_heard_of_already(self) -> None:
-        # A request reaches a server that left while its instance was cut off,
-        # though the others had told it so. At its return the store gives the
-        # changes since its last call, one after another: the old row brought
-        # the server back, and its removal then passed for a lapse.
+        self.merge_from(fresh)
+        self.assertEqual(self.usable_ids(self.isolated), ["b"])
+
+    def test_history_already_received_from_others(self) -> None:
+        # Guards against requests to a server that left while the instance was
+        # cut off from the store, although other instances had reported the
+        # removal. After the instance's return the store sends the changes since
+        # its last call in order: the old row brought the server back, and its
+        # removal was then taken for a lapse.
         self.there.take_changes([ServerRow("a", 4, b"pool:ready")], 4)
         self.there.take_changes([ServerRow("a", 5, None)], 5)
-        self.hear(self.there)
-        self.cut.store_regained(20.0)
+        self.merge_from(self.there)
+        self.isolated.mark_store_reachable(20.0)
         history = [
             ServerRow("a", 4, b"pool:ready"),
             ServerRow("a", 5, None),
             ServerRow("c", 6, b"pool:ready"),
             ServerRow("c", 7, None),
         ]
-        news = self.cut.take_changes(history, 8)
-        self.assertEqual(self.ids(self.cut), ["b"])
+        news = self.isolated.take_changes(history, 8)
+        self.assertEqual(self.usable_ids(self.isolated), ["b"])
         self.assertEqual(news, [])
 
-    def test_return_of_one_moves_nobody(self) -> None:
-        # The returned instance has read as of a newer moment and still keeps
-        # a server that the others dropped. That is no news to them, and not
-        # worth a fetch by each of them.
+    def test_reconnected_instance_causes_no_fetch(self) -> None:
+        # The returned instance has read a newer version and still keeps a
+        # server that the others removed. That is nothing new to the others, and
+        # not worth a fetch by each of them.
         self.there.take_changes([ServerRow("a", 5, None)], 5)
-        self.cut.store_regained(20.0)
+        self.isolated.mark_store_reachable(20.0)
         rows = [ServerRow("b", 1, b"pool:ready")]
-        self.cut.take_all(rows, 9)
-        self.assertFalse(self.there.behind(self.cut.standing))
+        self.isolated.take_all(rows, 9)
+        self.assertFalse(self.there.is_behind(self.isolated.standing))
 
 
 if __name__ == "__main__":
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,16 +1,16 @@
-"""How old an instance's knowledge is, and who has it proved."""
+"""Tests of the age of an instance's data and of the leader's role."""
 
 import unittest
 
 from jasminerelay.followers import (
     FOLLOWERS,
-    LAG_PATIENCE_S,
-    LEAD_PATIENCE_S,
-    LEADERS,
-    MOST_PATIENCE_S,
+    LAGGING_POLL_AGE_S,
+    LEADER_POLL_AGE_S,
+    MAX_POLL_AGE_S,
+    PROOF_SENDERS,
     Followers,
 )
-from jasminerelay.freshness import DEAF_S, STALL_S, Freshness
+from jasminerelay.freshness import IGNORE_AGES_S, STALL_S, Freshness
 from jasminerelay.membership import ALIVE
 from jasminerelay.schema.messages import Member
 
@@ -18,34 +18,34 @@
 
 
 class FreshnessTest(unittest.TestCase):
-    """Up to which moment knowledge is proved complete."""
+    """The moment up to which data is proved complete."""
 
     def setUp(self) -> None:
         self.freshness = Freshness(TABLES)
 
-    def test_nothing_is_known_at_first(self) -> None:
+    def test_age_is_infinite_at_first(self) -> None:
         self.assertEqual(self.freshness.age_s(1e9), float("inf"))
 
     def test_both_tables_must_be_answered(self) -> None:
-        # The store answers on servers and owes an answer on the
-        # configuration. Routes may have changed, so nothing is proved.
+        # The store answers on servers but not yet on the configuration. Routes
+        # may have changed, so nothing is proved.
         self.freshness.answered("servers", 9, 10.0)
         self.assertEqual(self.freshness.age_s(10.0), float("inf"))
         self.freshness.answered("op", 9, 12.0)
         self.assertEqual(self.freshness.age_s(13.0), 1.0)
 
-    def test_one_answer_proves_what_has_not_changed(self) -> None:
-        # With the store's version as it was, one call proves both tables: no
-        # second call a second is needed for servers.
+    def test_one_answer_proves_unchanged_tables(self) -> None:
+        # If the store's version is unchanged, one call proves both tables: no
+        # second call each second is needed for servers.
         self.freshness.answered("servers", 9, 10.0)
         self.freshness.answered("op", 9, 10.0)
         self.assertTrue(self.freshness.answered("op", 9, 20.0))
         self.assertEqual(self.freshness.age_s(20.5), 0.5)
         self.assertFalse(self.freshness.lags)
 
-    def test_change_elsewhere_proves_nothing(self) -> None:
-        # The store's version has risen, and not by the configuration: a
-        # server may have left, of which its own call has not told yet.
+    def test_answer_does_not_cover_a_change_of_the_other_table(self) -> None:
+        # The store's version has risen, but not because of the configuration: a
+        # server may have left, which the call on servers has not returned yet.
         for table in TABLES:
             self.freshness.answered(table, 9, 10.0)
         self.assertFalse(self.freshness.answered("op", 11, 20.0))
@@ -54,24 +54,25 @@
         self.assertTrue(self.freshness.answered("servers", 11, 20.1))
         self.assertEqual(self.freshness.age_s(20.1), 0.0)
 
-    def test_answer_of_an_older_moment(self) -> None:
-        # After its history is lost the store may answer as of before.
+    def test_answer_with_an_older_version(self) -> None:
+        # After lost history the store may answer with an older version.
         for table in TABLES:
             self.freshness.answered(table, 9, 10.0)
         self.assertFalse(self.freshness.answered("op", 8, 20.0))
         self.assertEqual(self.freshness.age_s(20.0), 10.0)
 
-    def test_another_instance_tells(self) -> None:
+    def test_age_reported_by_another_instance(self) -> None:
         self.freshness.tick(29.6)
         self.freshness.tick(30.0)
         self.freshness.told(0.25, 30.0)
         self.freshness.told(0.75, 30.0)
         self.assertEqual(self.freshness.age_s(30.5), 0.75)
 
-    def test_words_read_after_a_standstill(self) -> None:
-        # An instance stands still for seconds. What others sent at the
-        # beginning lies in its buffer and looks as if it had just come; a
-        # route added meanwhile would be answered with "not found".
+    def test_messages_read_after_a_stall(self) -> None:
+        # An instance is stalled for seconds. Messages that others sent at the
+        # beginning are still in its buffer and look as if they had just
+        # arrived; a request for a route added meanwhile would be answered with
+        # "not found".
         self.freshness.tick(30.0)
         late = 30.0 + 2 * STALL_S
         self.freshness.told(0.1, late)
@@ -79,14 +80,14 @@
         self.freshness.tick(late)
         self.freshness.told(0.1, late)
         self.assertEqual(self.freshness.age_s(late), float("inf"))
-        now = late + DEAF_S
+        now = late + IGNORE_AGES_S
         self.freshness.tick(now)
         self.freshness.told(0.1, now)
         self.assertAlmostEqual(self.freshness.age_s(now), 0.1)
 
 
 class LeaderTest(unittest.TestCase):
-    """Who asks the store, after how long, and whom it tells."""
+    """Which instance asks the store, at which age, and whom it notifies."""
 
     @staticmethod
     def members(count: int, zones: int = 3) -> list[Member]:
@@ -96,60 +97,64 @@
         ]
 
     def parts(self, count: int, **seen) -> list[Followers]:
-        """Returns every instance's part."""
+        """Returns the role of every instance."""
         members = self.members(count)
-        made = [Followers(m.instance, m.zone) for m in members]
-        for item in made:
-            item.saw_instances(members, **seen)
-        return made
+        roles_of_all = [Followers(m.instance, m.zone) for m in members]
+        for role in roles_of_all:
+            role.saw_instances(members, **seen)
+        return roles_of_all
 
     def test_one_leads(self) -> None:
         for count, shared in ((1, False), (6, False), (195, True)):
-            made = self.parts(count, shared=shared)
-            self.assertEqual(sum(item.leads for item in made), 1)
-
-    def test_next_one_leads_without_store(self) -> None:
-        # The store turns the leading instance away and serves the others.
-        made = self.parts(6, shared=False)
-        leader = next(n for n, item in enumerate(made) if item.leads)
-        made = self.parts(6, shared=False, without_store=[f"i{leader}"])
-        leads = [n for n, item in enumerate(made) if item.leads]
+            roles_of_all = self.parts(count, shared=shared)
+            self.assertEqual(sum(role.leads for role in roles_of_all), 1)
+
+    def test_next_instance_leads_if_the_leader_loses_the_store(self) -> None:
+        # The store rejects the leading instance and serves the others.
+        roles_of_all = self.parts(6, shared=False)
+        leader = next(n for n, role in enumerate(roles_of_all) if role.leads)
+        roles_of_all = self.parts(6, shared=False, without_store=[f"i{leader}"])
+        leads = [n for n, role in enumerate(roles_of_all) if role.leads]
         self.assertEqual(len(leads), 1)
         self.assertNotEqual(leads[0], leader)
 
     def test_all_without_store(self) -> None:
         names = [f"i{n}" for n in range(6)]
-        made = self.parts(6, shared=False, without_store=names)
-        self.assertEqual(sum(item.leads for item in made), 1)
-
-    def test_patience(self) -> None:
-        # The first one asks first, so that one call serves all; the last one
-        # asks before its knowledge is too old for the two seconds in which a
-        # change must be in force.
-        made = self.parts(195, shared=True)
-        waits = sorted(item.patience_s(lags=False) for item in made)
-        self.assertEqual(waits[0], LEAD_PATIENCE_S)
-        self.assertLess(waits[0], waits[1])
-        self.assertEqual(waits[-1], MOST_PATIENCE_S)
-        lags = sorted(item.patience_s(lags=True) for item in made)
-        self.assertEqual(lags[0], LAG_PATIENCE_S)
-        self.assertEqual(lags[1:], waits[1:])
-
-    def test_few_tell_few(self) -> None:
-        # The leader of 195 tells those who follow the store in each zone, and
-        # they tell theirs: nobody speaks to all.
-        made = self.parts(195, shared=True)
-        telling = [item for item in made if item.told()]
-        self.assertEqual(len(telling), LEADERS)
-        for item in telling:
-            self.assertLessEqual(len(item.told()), 3 * FOLLOWERS)
-        led = [member.instance for item in made for member in item.led()]
-        self.assertEqual(len(led), len(set(led)))
-        self.assertEqual(len(led), 195 - 3 * FOLLOWERS)
-
-    def test_all_are_told_among_few(self) -> None:
-        made = self.parts(6, shared=False)
-        leader = next(item for item in made if item.leads)
+        roles_of_all = self.parts(6, shared=False, without_store=names)
+        self.assertEqual(sum(role.leads for role in roles_of_all), 1)
+
+    def test_poll_ages(self) -> None:
+        # The leader asks first, so that one call serves all. The last instance
+        # asks before its data is too old for the two seconds in which a change
+        # must be in force.
+        roles_of_all = self.parts(195, shared=True)
+        ages = sorted(role.patience_s(lags=False) for role in roles_of_all)
+        self.assertEqual(ages[0], LEADER_POLL_AGE_S)
+        self.assertLess(ages[0], ages[1])
+        self.assertEqual(ages[-1], MAX_POLL_AGE_S)
+        lagging_ages = sorted(
+            role.patience_s(lags=True) for role in roles_of_all
+        )
+        self.assertEqual(lagging_ages[0], LAGGING_POLL_AGE_S)
+        self.assertEqual(lagging_ages[1:], ages[1:])
+
+    def test_large_platform_notifies_by_zone(self) -> None:
+        # The leader of 195 instances notifies the followers of each zone, and
+        # they notify their zones: no instance sends to all.
+        roles_of_all = self.parts(195, shared=True)
+        senders = [role for role in roles_of_all if role.told()]
+        self.assertEqual(len(senders), PROOF_SENDERS)
+        for role in senders:
+            self.assertLessEqual(len(role.told()), 3 * FOLLOWERS)
+        recipients = [
+            member.instance for role in roles_of_all for member in role.led()
+        ]
+        self.assertEqual(len(recipients), len(set(recipients)))
+        self.assertEqual(len(recipients), 195 - 3 * FOLLOWERS)
+
+    def test_small_platform_notifies_all(self) -> None:
+        roles_of_all = self.parts(6, shared=False)
+        leader = next(role for role in roles_of_all if role.leads)
         self.assertEqual(len(leader.told()), 5)
 
 
--- a/tests/test_missingservers.py
+++ b/tests/test_missingservers.py
@@ -88,7 +88,7 @@
             self._follow(now)
         elif not reach and not self._lost and now >= self._due:
             self._lost = True
-            self.registry.store_lost()
+            self.registry.mark_store_unreachable()
         self.registry.expire(now)
 
     def hear(self, other: "Instance", now: float) -> None:
@@ -96,13 +96,13 @@
         standing = other.registry.standing
         if standing.touch == Touch.LOST and not self._reached:
             self._due = now
-        if not self.registry.behind(standing):
+        if not self.registry.is_behind(standing):
             return
         if self._behind_since is None:
             self._behind_since = now
         if now - self._behind_since >= FETCH_S:
             self._behind_since = None
-            self.registry.adopt(other.registry.export())
+            self.registry.adopt(other.registry.export_snapshot())
 
     def uses(self, name: str) -> bool:
         """Returns whether a server gets new work."""
@@ -117,7 +117,7 @@
 
     def _follow(self, now: float) -> None:
         self._lost = False
-        self.registry.store_regained(now)
+        self.registry.mark_store_reachable(now)
         rows = self._store.after(self._after)
         if rows:
             self.registry.take_changes(rows, self._store.version)
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -13,7 +13,7 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.platform import documents, headers, storeclient
 from jasminerelay.platform.documents import DocumentError
-from jasminerelay.registry import RETURN_GRACE_S, Registry, ServerNews
+from jasminerelay.registry import RETURN_GRACE_S, Registry, ServerChange
 from jasminerelay.schema.messages import ServerLoad, ServerRow, Snapshot
 from jasminerelay.schema.settings import Statsd
 from tests.test_dispatcher import dispatcher
@@ -164,10 +164,10 @@
         # its new incarnation's row comes: nothing of the former one is left.
         known = self.followed.registry
         self.followed.take(row(1))
-        known.store_lost()
+        known.mark_store_unreachable()
         self.followed.take(ServerRow("a", 2, None))
         self.assertEqual(self.followed.ids(), [f"a@{START}"])
-        known.store_regained(10.0)
+        known.mark_store_reachable(10.0)
         self.followed.take(row(3, born=START + 4000))
         self.assertEqual(known.expire(100.0), [])
         self.assertEqual(self.followed.ids(), [f"a@{START + 4000}"])
@@ -178,9 +178,9 @@
         here, there = registry(), registry()
         for known in (here, there):
             known.take_changes([row(1)], 1)
-        old = there.export()
+        old = there.export_snapshot()
         there.take_changes([row(2, born=START + 900)], 2)
-        here.adopt(there.export())
+        here.adopt(there.export_snapshot())
         here.adopt(old)
         (server,) = here.servers_of(POOL)
         self.assertEqual(server.id, f"a@{START + 900}")
@@ -344,7 +344,7 @@
         self.assertIsNone(first.ended)
         (again,) = known.take_changes([row(2, born=START + 1)], 2)
         self.assertEqual(again.ended.id, f"a@{START}")
-        self.assertIsInstance(again, ServerNews)
+        self.assertIsInstance(again, ServerChange)
         self.assertEqual(known.take_changes([row(3, born=START + 1)], 3), [])
 
     def test_dropped_after_an_outage(self) -> None:
@@ -353,9 +353,9 @@
         # its instance dropped it afterwards and forgot to move the stream.
         followed = Followed()
         followed.take(row(1))
-        followed.registry.store_lost()
+        followed.registry.mark_store_unreachable()
         followed.take(ServerRow("a", 2, None))
-        followed.registry.store_regained(10.0)
+        followed.registry.mark_store_reachable(10.0)
         followed.feed.expire(10.0 + RETURN_GRACE_S)
         self.assertEqual(followed.left, [f"a@{START}"])
         self.assertEqual(followed.gone, [f"a@{START}"])
@@ -366,7 +366,7 @@
         # it kept the server; without a line that looked like never heard.
         followed = Followed()
         followed.take(row(1))
-        followed.registry.store_lost()
+        followed.registry.mark_store_unreachable()
         for version in (2, 3):
             followed.take(ServerRow("a", version, None))
         lines = [
--- a/tests/test_snapshotchanges.py
+++ b/tests/test_snapshotchanges.py
@@ -58,7 +58,7 @@
 
     def pass_on(self):
         """Tells the one that is behind; returns what went."""
-        snapshot = self.told.export(0, self.behind.complete_until)
+        snapshot = self.told.export_snapshot(0, self.behind.delta_base_version)
         self.behind.adopt(snapshot)
         return snapshot
 
@@ -67,7 +67,7 @@
         # each change: links were full for seconds.
         told, behind = registry(SERVERS), registry(SERVERS)
         told.take_changes([row("s7", 2, phase="draining")], 2)
-        snapshot = told.export(0, behind.complete_until)
+        snapshot = told.export_snapshot(0, behind.delta_base_version)
         self.assertLess(len(msgspec.msgpack.encode(snapshot)), MOST_BYTES)
         behind.adopt(snapshot)
         self.assertTrue(names(behind)["s7"])
@@ -111,15 +111,15 @@
         self.behind.take_changes([], 2)
         self.told.take_changes([row("s2", 3, phase="draining")], 3)
         self.pass_on()
-        self.assertTrue(self.behind.behind(self.told.standing))
-        self.assertEqual(self.behind.complete_until, 0)
+        self.assertTrue(self.behind.is_behind(self.told.standing))
+        self.assertEqual(self.behind.delta_base_version, 0)
         self.pass_on()
         self.assertEqual(names(self.behind), names(self.told))
 
     def test_one_with_lapsed_rows_gets_all(self) -> None:
-        self.behind.store_lost()
+        self.behind.mark_store_unreachable()
         self.behind.take_changes([ServerRow("s1", 2, None)], 2)
-        self.assertEqual(self.behind.complete_until, 0)
+        self.assertEqual(self.behind.delta_base_version, 0)
 
     def test_any_changes_in_any_steps(self) -> None:
         for seed in range(60):
--- a/tests/test_staleversions.py
+++ b/tests/test_staleversions.py
@@ -130,7 +130,9 @@
         # that they tell of changes must know this one in time.
         async def story(world: World) -> None:
             group = [n for n in world.nodes.values() if n.member.zone == "z1"]
-            names = followers.chosen("z1", [node.name for node in group])
+            names = followers.followers_of_zone(
+                "z1", [node.name for node in group]
+            )
             self.cut(world, [world.nodes[name] for name in names])
             world.store.configure()
             await anyio.sleep(PROMISED_S)
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -33,7 +33,7 @@
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import Member, ServerRow
 from jasminerelay.schema.settings import Statsd
-from jasminerelay.standings import Standings
+from jasminerelay.standings import PeerStandings
 from tests.test_following import decode, silent_log
 
 LENGTH_S = 60.0
@@ -165,7 +165,7 @@
             lambda data: types.SimpleNamespace(version=int(data)), decode
         )
         self.freshness = Freshness(TABLES)
-        self.standings = Standings(self.registry, self.freshness)
+        self.standings = PeerStandings(self.registry, self.freshness)
         self.followers = Followers(member.instance, member.zone)
         log, counters = silent_log(), Counters(Statsd())
         self.state = StoreState(self.registry, self.freshness, log)
@@ -236,7 +236,7 @@
 
     def hear(self, sender: "Node", standing) -> None:
         """Takes a word."""
-        if self.standings.loses_store(sender.name, standing):
+        if self.standings.reports_store_loss(sender.name, standing):
             self.state.check()
         self.standings.hear(sender.name, standing, now(), now())
         if standing.touch:
@@ -276,7 +276,7 @@
         if other is None or other.part != self.part:
             return
         await anyio.sleep(ANSWER_S)
-        self.registry.adopt(other.registry.export())
+        self.registry.adopt(other.registry.export_snapshot())
 
 
 class World:
@@ -396,7 +396,9 @@
         """The ways of some to the store close: mostly of those who follow."""
         zone = f"z{self.rng.randrange(3)}"
         group = [n for n in self.nodes.values() if n.member.zone == zone]
-        chosen = followers.chosen(zone, [node.name for node in group])
+        chosen = followers.followers_of_zone(
+            zone, [node.name for node in group]
+        )
         if self.rng.random() < 0.5:
             chosen = self.rng.sample(list(self.nodes), 2)
         cut = [self.nodes[name] for name in chosen]
