--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -170,7 +170,7 @@
             len(msgspec.msgpack.encode(sent.gossip)) + 28
             for sent in view.probe(float(number))
         ]
-        view._awaited = None
+        view._probed = None
     return sum(sizes) / len(sizes)
 
 
--- a/src/jasminerelay/catalog.py
+++ b/src/jasminerelay/catalog.py
@@ -1,7 +1,7 @@
-"""What the operator has in force: routes, services, organisations, keys.
+"""The operator's configuration: routes, services, organisations and keys.
 
-A catalog is one whole version; nothing of it changes once it is made, so a
-request that holds one sees one truth from its first to its last decision.
+A catalog is one version of the configuration and immutable, so a request that
+holds one is served by consistent rules from its first to its last decision.
 """
 
 import dataclasses
@@ -14,12 +14,12 @@
 
 
 class Repeat(enum.Enum):
-    """What may be sent to a second backend server.
+    """Whether a request may be sent to a second backend server.
 
     Attributes:
         IDEMPOTENT: The request may run any number of times.
         ONCE: The request runs at most once.
-        RESUMABLE: A stream that may go on at another backend server behind
+        RESUMABLE: A stream that may continue at another backend server after
             the last event that was delivered.
     """
 
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Share:
-    """A service's part of a route's requests.
+    """A service's share of a route's requests.
 
     Attributes:
         service: Name of the service.
-        weight: Its part, relative to the others'.
+        weight: Its weight, relative to those of the other services.
     """
 
     service: str
@@ -47,22 +47,22 @@
 
     Attributes:
         name: Its name, which also names the kind of work in load estimates.
-        host: Host that callers name, in lower case.
-        prefix: Leading part of the path, from slash to slash.
-        repeat: What may be repeated.
+        host: Host in the request, in lower case.
+        prefix: Leading path segments, from slash to slash.
+        repeat: Whether a request may be repeated.
         streaming: Whether answers are event streams.
-        timeout_s: Longest time that a request may stay without its end.
-        objective_s: Time to the answer, or to a stream's first event, within
-            which the answer is worth most.
-        pause_s: Longest pause between events of an answer in time; 0 for
+        timeout_s: Maximum time from a request to the end of its answer.
+        objective_s: Target time to the answer, or to a stream's first event;
+            later answers are worth less.
+        pause_s: Maximum pause between events of an answer in time; 0 for
             answers that are not streams.
-        rank: 0 is served first.
-        services: Where its requests go.
-        max_servers: Most backend servers that may run one request.
+        rank: Priority; 0 is served first.
+        services: The services that serve its requests.
+        max_servers: Maximum number of backend servers that may run one request.
         anonymous: Whether callers need no key.
         model: Whether requests carry a prompt for a model engine.
-        patience_s: Silence after which its callers leave a stream, also
-            before the first event.
+        patience_s: Time without an event after which callers abandon a stream,
+            also before its first event.
     """
 
     name: str
@@ -85,7 +85,7 @@
         return any(share.service == service for share in self.services)
 
     def pick_service(self, rng: random.Random) -> str:
-        """Returns the service of one request, by the shares' weights."""
+        """Chooses a request's service at random, by the shares' weights."""
         if len(self.services) == 1:
             return self.services[0].service
         names = [share.service for share in self.services]
@@ -97,17 +97,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Engine:
-    """What the backend servers of a model service can do.
+    """Capacity and features of the backend servers of a model service.
 
     Attributes:
         slots: Requests that one server runs at once.
-        cache_tokens: Tokens that one server's memory holds.
-        token_bytes: Memory of one token.
-        backups: Whether a run's memory can be copied to a second server as
-            it grows.
+        cache_tokens: Capacity of one server's KV cache, in tokens.
+        token_bytes: Size of one token in the KV cache.
+        backups: Whether the KV cache of an in-flight request can be copied to a
+            second server while it grows.
         event_tokens: Tokens in one event of a stream.
-        moves: Whether a run can be moved to another server.
-        link_bits_s: What one server's link to the others carries, in bits a
+        moves: Whether an in-flight request can be moved to another server.
+        link_bits_s: Bandwidth of one server's link to the others, in bits per
             second; 0 if unknown.
     """
 
@@ -120,7 +120,7 @@
     link_bits_s: float = 0.0
 
     def transfer_s(self, tokens: float) -> float:
-        """Returns how long the memory of some tokens takes to be copied."""
+        """Returns the time to copy the KV cache of a number of tokens."""
         if not self.link_bits_s:
             return math.inf
         return tokens * self.token_bytes * BYTE_BITS / self.link_bits_s
@@ -128,16 +128,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scaling:
-    """How many servers of a service may be ordered, and what they cost.
+    """Limits on ordering servers of a service, and their prices.
 
     Attributes:
-        least: Least number of servers in an availability zone.
-        most: Most of them, both kinds together.
-        boot_s: Time from the order of a server to its first request.
-        preemptible_price: Price of a server that may be taken away, as a part
-            of the usual one; None if there are none.
-        zone_prices: Price of a server's second by availability zone; zones
-            that are not named have none.
+        least: Minimum number of servers in an availability zone.
+        most: Maximum number, on-demand and preemptible servers together.
+        boot_s: Time from ordering a server to its first request.
+        preemptible_price: Price of a preemptible server as a fraction of the
+            usual price; None if there are none.
+        zone_prices: Price of a server per second by availability zone; zones
+            that are not listed have no price.
     """
 
     least: int
@@ -153,9 +153,10 @@
 
     Attributes:
         name: Its name.
-        max_connections: Connections that one server takes from all instances.
+        max_connections: Maximum number of connections to one server, from all
+            instances.
         engine: Set for a service of model engines.
-        scaling: Set for one whose servers may be ordered.
+        scaling: Set for a service whose servers may be ordered.
     """
 
     name: str
@@ -166,16 +167,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """What callers may send, and how long they may take.
+    """Limits on the size and duration of callers' requests.
 
-    The defaults hold until the first configuration is there.
+    The defaults apply until the first configuration is received.
 
     Attributes:
-        body_bytes: Most bytes of a request's body.
-        head_bytes: Most bytes of a request's head.
-        head_s: Longest time from a head's first byte to its last.
-        idle_s: Longest pause inside a body, and longest time that a
-            connection may stay without a request.
+        body_bytes: Maximum size of a request's body.
+        head_bytes: Maximum size of a request's head.
+        head_s: Maximum time from the first byte of a head to its last.
+        idle_s: Maximum pause inside a body, and maximum time that a connection
+            may stay open without a request.
     """
 
     body_bytes: int = 1 << 22
@@ -186,11 +187,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Holder:
-    """The organisation that holds a key.
+    """The organisation that holds an API key.
 
     Attributes:
         name: Its name.
-        rank: Its rank, which goes before its routes'; None for theirs.
+        rank: Its priority, which takes precedence over that of its routes; None
+            to use the routes' priority.
     """
 
     name: str
@@ -202,14 +204,14 @@
     """One incarnation of a backend server, from its start to its end.
 
     Attributes:
-        name: What the server calls itself. A restart may bring the same one.
+        name: The server's own name. A restarted server may have the same name.
         service: Its service.
         address: IP:port.
         zone: Its availability zone.
         slots: Requests that it runs at once.
-        draining: Whether it takes no new work.
-        born: Its own clock at its start, in Unix milliseconds; 0 if it does
-            not say. It tells incarnations apart and never orders them: a
+        draining: Whether it accepts no new work.
+        born: Its own clock at its start, in Unix milliseconds; 0 if not
+            reported. It distinguishes incarnations but does not order them: a
             clock may have stepped back between two starts.
         preemptible: Whether it may be taken away at short notice.
     """
@@ -225,12 +227,12 @@
 
     @property
     def id(self) -> str:
-        """Names this incarnation among all servers.
+        """Identifies this incarnation among all servers.
 
-        All that is kept or told of a server (load, pace, health, cache,
-        connections) goes by it. A server that restarts under its old name
-        holds and knows nothing of before, so by the name alone it would be
-        taken to have its predecessor's cache, failures and running requests.
+        All state about a server (load, decode speed, health, cache,
+        connections) is keyed by it. A server that restarts under its old name
+        has none of its former state. Keyed by the name alone, it would be
+        credited with its predecessor's cache, failures and in-flight requests.
         """
         return f"{self.name}@{self.born}" if self.born else self.name
 
@@ -240,12 +242,12 @@
     """One version of the operator's configuration.
 
     Attributes:
-        version: The operator's number; later versions are higher.
+        version: The operator's version number; later versions are higher.
         routes: All routes.
         services: Services by name.
-        holders: Organisations by key.
-        keyed: Whether requests need a key at all.
-        bounds: What callers may send.
+        holders: Organisations by API key.
+        keyed: Whether requests need an API key at all.
+        bounds: Limits on callers' requests.
     """
 
     version: int
@@ -267,14 +269,15 @@
         object.__setattr__(self, "_route_ranks", sorted(ranks))
 
     def urgent(self, rank: int, route: Route) -> bool:
-        """Returns whether engines take a request before others.
+        """Returns whether engines serve a request before others.
 
-        A full engine puts back the newest of all that are less urgent than the
-        one that comes, not the least urgent of them. With more than two grades
-        at an engine the middle ones are put back while the last ones run on.
+        A full engine preempts the newest of all requests that are less urgent
+        than the arriving one, not the least urgent of them. With more than two
+        priority levels at an engine, requests of the middle levels would be
+        preempted while those of the last level keep running.
 
         Args:
-            rank: The organisation's rank, or the route's.
+            rank: The organisation's priority, or the route's.
             route: The route.
         """
         ranks: list[int] = self._route_ranks  # type: ignore
@@ -283,35 +286,36 @@
         return self.level_of(rank, route) == 0
 
     def level_of(self, rank: int, route: Route) -> int:
-        """Returns the place of a model request among all that may come.
+        """Returns the priority level of a model request among all.
 
-        An organisation's rank goes before its routes' ranks, and does not
-        replace them: among requests of organisations that rank alike, a
-        short-lived answer must not wait behind a long one. Levels are dense,
-        since engines know few of them.
+        An organisation's priority takes precedence over its routes' priorities
+        but does not replace them: among organisations of equal priority, a
+        request with a short answer must not wait behind one with a long answer.
+        Levels are consecutive, since engines support few of them.
 
         Args:
-            rank: The organisation's rank, or the route's.
+            rank: The organisation's priority, or the route's.
             route: The route.
         """
         levels: dict[tuple[int, int], int] = self._levels  # type: ignore
         return levels.get((rank, route.rank), rank)
 
     def _dense_levels(self) -> dict[tuple[int, int], int]:
-        own = {holder.rank for holder in self.holders.values()}
-        if own <= {None}:
-            # The routes' ranks are all there is, and go as they are.
+        holder_ranks = {holder.rank for holder in self.holders.values()}
+        if holder_ranks <= {None}:
+            # No organisation has a rank, so the routes' ranks are used
+            # unchanged.
             return {}
         pairs = {
             (route.rank if rank is None else rank, route.rank)
             for route in self.routes
             if route.model
-            for rank in own
+            for rank in holder_ranks
         }
         return {pair: level for level, pair in enumerate(sorted(pairs))}
 
     def route_of(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix of the path."""
+        """Returns the route with the longest matching path prefix."""
         by_host: dict[str, list[Route]] = self._by_host  # type: ignore
         for route in by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
@@ -324,7 +328,7 @@
     """A leading part of a prompt, shared by all requests with its id.
 
     Attributes:
-        id: Names its content.
+        id: Identifies its content.
         tokens: Its size.
     """
 
@@ -338,10 +342,10 @@
 
     Attributes:
         parts: Its parts in order; the last is the request's own.
-        tokens: Tokens in.
-        max_output: Most tokens out.
-        expected_output: The caller's estimate of the tokens out; None if it
-            gave none.
+        tokens: Number of input tokens.
+        max_output: Maximum number of output tokens.
+        expected_output: The caller's estimate of the output tokens; None if not
+            given.
     """
 
     parts: tuple[PromptPart, ...]
@@ -351,41 +355,41 @@
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may bring too."""
+        """The parts that other requests may contain too."""
         return self.parts[:-1]
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts that other requests may bring too."""
+        """Number of tokens in the shared parts."""
         return sum(part.tokens for part in self.shared)
 
     @property
     def own_tokens(self) -> int:
-        """Tokens in that no other request brings."""
+        """Number of input tokens that no other request shares."""
         return self.tokens - self.shared_tokens
 
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """A request of a caller, whichever interface it came by.
+    """A request of a caller, independent of the interface that received it.
 
     Attributes:
         id: The caller's id of this attempt.
         route: Its route.
         service: The service that serves it.
-        rank: 0 is served first.
-        urgent: Whether engines take it before others.
-        organisation: Whose it is; "" without a key.
+        rank: Priority; 0 is served first.
+        urgent: Whether engines serve it before others.
+        organisation: The caller's organisation; "" without a key.
         method: HTTP method.
-        host: Host that the caller named.
-        target: Path and query, byte for byte.
-        headers: Header fields to pass on.
-        body: Body, whole.
+        host: Host in the request.
+        target: Path and query, unchanged.
+        headers: Header fields to forward.
+        body: The complete body.
         prompt: Set for model requests.
-        last_event: Last event that the caller has of an earlier answer; ""
-            for a new one.
+        last_event: Id of the last event that the caller received of an earlier
+            answer; "" for a new request.
         arrived: Steady time at which it was read, in seconds.
-        ends: Steady time at which it must have its final answer.
+        ends: Steady time by which its final answer must be sent.
     """
 
     id: str
--- a/src/jasminerelay/membership.py
+++ b/src/jasminerelay/membership.py
@@ -1,10 +1,11 @@
-"""Which instances are live: random probes and piggybacked records.
-
-After SWIM (Das, Gupta, Motivala 2002), without indirect probes: each
-interval an instance probes one other, whatever their number, so the cost per
-instance is constant. Silence makes the other suspect; it is taken as failed
-after a while unless a newer word of its own refutes it. Every probe raises
-the sender's beat, so a thawed instance refutes by probing on.
+"""Membership and failure detection: random probes with piggybacked records.
+
+The protocol follows SWIM (Das, Gupta, Motivala 2002), without indirect probes.
+In each interval an instance probes one other, whatever their number, so the
+cost per instance is constant. An instance that does not answer is suspected,
+and counts as failed after a while unless a newer record of its own refutes the
+suspicion. Every probe increments the sender's beat, so an instance that resumes
+after a pause refutes the suspicion by continuing to probe.
 """
 
 import dataclasses
@@ -28,25 +29,27 @@
 ACK = "ack"
 
 MAX_RECORDS = 6
-"""Records a datagram; keeps it below one Ethernet frame."""
+"""Records in a datagram; keeps it smaller than one Ethernet frame."""
 
 FANOUT = 3
 REFUTE_FANOUT = 12
-"""Others that a suspect speaks to at each interval in which it hears of the
-suspicion, which reaches all within a second."""
+"""Number of instances to which a suspected instance sends in each interval in
+which it receives the suspicion, which reaches all within a second."""
 
-DENY_SHARE = 0.5
-"""Part of the time that a suspect has, for which a word of its own is proof
-against a suspicion. Older ones say nothing of whether it lives now."""
+REFUTE_SHARE = 0.5
+"""Fraction of the suspicion timeout within which a message from the suspect
+itself outweighs a suspicion. An older message does not show that it is alive
+now."""
 
-CHECKS_AT_ONCE = 16
-"""Suspects that are asked at each interval. Many fall silent at once when an
-availability zone goes."""
+MAX_SUSPECT_PROBES = 16
+"""Suspects that are probed in each interval. Many become unresponsive at once
+when an availability zone fails."""
 
-RETRANSMIT = 3
+RETRANSMIT_FACTOR = 3
 FORGET_AFTER_S = 120.0
 REVISIT_SHARE = 0.1
-"""Share of probes that try a failed instance; heals a parted network."""
+"""Fraction of probes that go to a failed instance; heals a network
+partition."""
 
 _SEVERITY = {ALIVE: 0, SUSPECT: 1, FAILED: 2, LEAVING: 3}
 
@@ -60,268 +63,280 @@
 
 
 @dataclasses.dataclass
-class _Known:
-    """What is held of another instance.
+class _Peer:
+    """The state of another instance.
 
     Attributes:
         member: Its newest record.
         since: Steady time at which its state changed.
-        spoke: Steady time of the last datagram of its own.
+        last_message_at: Steady time of the last datagram from the instance
+            itself.
     """
 
     member: Member
     since: float
-    spoke: float = float("-inf")
+    last_message_at: float = float("-inf")
 
 
 class Membership:
     """One instance's view of all instances.
 
-    Pure: takes the time, returns datagrams to send.
+    This class does no I/O: it is given the time and returns datagrams to send.
     """
 
     def __init__(self, own: Member, suspect_after_s: float, rng: random.Random):
-        """Makes the view of a fresh instance.
+        """Creates the view of an instance that has just started.
 
         Args:
             own: Its first record.
-            suspect_after_s: Time that a suspect has to refute.
-            rng: Picks whom to probe.
+            suspect_after_s: Time that a suspected instance has to refute.
+            rng: Chooses the instances to probe.
         """
         self.own = own
         self._suspect_after_s = suspect_after_s
         self._rng = rng
-        self._known: dict[str, _Known] = {}
-        self._round: list[str] = []
-        self._awaited: str | None = None
-        self._asked_again = False
-        self._doubted = False
-        self._unchecked: list[str] = []
-        self._left: dict[str, int] = {own.instance: FANOUT}
+        self._peers: dict[str, _Peer] = {}
+        self._probe_queue: list[str] = []
+        self._probed: str | None = None
+        self._probed_twice = False
+        self._is_suspected = False
+        self._suspects_to_probe: list[str] = []
+        self._transmissions_left: dict[str, int] = {own.instance: FANOUT}
         self._notices: dict[str, Notice] = {}
-        self._notices_left: dict[str, int] = {}
+        self._notice_transmissions_left: dict[str, int] = {}
         self.pointer = ManifestPointer(0, "")
 
     @property
     def view(self) -> list[Member]:
-        """Every known instance, this one first."""
-        return [self.own, *(known.member for known in self._known.values())]
+        """The records of all known instances, this one first."""
+        return [self.own, *(peer.member for peer in self._peers.values())]
 
     def live(self) -> list[Member]:
-        """Returns the instances that may be used for new work."""
+        """Returns the instances that may receive new work."""
         return [member for member in self.view if member.state == ALIVE]
 
     def notice_of(self, server: str) -> Notice | None:
-        """Returns the newest word about a backend server."""
+        """Returns the newest notice about a backend server."""
         return self._notices.get(server)
 
     def leaving_servers(self) -> set[str]:
-        """Returns the backend servers that a notice says are leaving."""
+        """Returns the backend servers for which a notice says leaving."""
         return {
             notice.server for notice in self._notices.values() if notice.leaving
         }
 
     def seed(self, members: Iterable[Member], now: float) -> None:
-        """Takes the platform's list, which lags: only unknown names count."""
+        """Adds members from the platform's list, unless already known.
+
+        The list lags behind, so it does not replace newer records.
+        """
         for member in members:
             if member.instance == self.own.instance:
                 continue
-            if member.instance not in self._known:
-                self._known[member.instance] = _Known(member, now)
+            if member.instance not in self._peers:
+                self._peers[member.instance] = _Peer(member, now)
 
     def leave(self) -> list[Send]:
-        """Announces that this instance takes no new work."""
-        self._speak(LEAVING)
+        """Announces that this instance accepts no new work."""
+        self._update_own_record(LEAVING)
         return self.push()
 
     def enter(self) -> list[Send]:
-        """Announces that this instance takes work from now on."""
-        self._speak(ALIVE)
+        """Announces that this instance accepts work from now on."""
+        self._update_own_record(ALIVE)
         return self.push()
 
     def greet(self, addresses: Iterable[str]) -> list[Send]:
         """Returns datagrams to addresses whose instances are not known.
 
-        Their answers bring the members that they know; so a list of
+        The answers contain the members that those instances know, so a list of
         addresses, however stale, is enough to join.
         """
-        known = {item.member.peers for item in self._known.values()}
-        known.add(self.own.peers)
+        known_addresses = {item.member.peers for item in self._peers.values()}
+        known_addresses.add(self.own.peers)
         gossip = Gossip(PROBE, self.own, [], [], self.pointer)
         return [
             Send(address, gossip)
             for address in addresses
-            if address not in known
+            if address not in known_addresses
         ]
 
     def notice(self, notice: Notice) -> bool:
-        """Takes a word about a backend server; returns whether it is news."""
+        """Records a notice on a server; returns whether its state changed."""
         held = self._notices.get(notice.server)
         if held is not None and held.stamp >= notice.stamp:
             return False
         self._notices[notice.server] = notice
-        self._notices_left[notice.server] = self._transmissions()
+        self._notice_transmissions_left[notice.server] = self._transmissions()
         return held is None or held.leaving != notice.leaving
 
     def probe(self, now: float) -> list[Send]:
-        """Runs one interval: judges the last probe and sends the next.
+        """Runs one interval: evaluates the last probe and sends the next.
 
-        Among many instances somebody's datagram is lost at any moment. So one
-        that did not answer is asked a second time before it is suspected;
-        whoever hears of a suspicion asks the suspect, too; and a suspect that
-        hears of it speaks to more of the others.
+        In a large platform some datagram is lost at any moment. So an instance
+        that did not answer is probed a second time before it is suspected; an
+        instance that receives a suspicion probes the suspect, too; and a
+        suspect that receives the suspicion sends to more of the others.
         """
-        again = self._asks_again()
-        self._judge(now)
-        self._speak(self.own.state)
-        target = self._awaited if again else self._next_target()
-        self._asked_again = again
-        self._awaited = target
-        sends = self.push(REFUTE_FANOUT) if self._doubted else []
-        self._doubted = False
-        checked = self._unchecked[:CHECKS_AT_ONCE]
-        del self._unchecked[:CHECKS_AT_ONCE]
-        asked = dict.fromkeys([*checked, target])
+        again = self._must_probe_again()
+        self._update_states(now)
+        self._update_own_record(self.own.state)
+        target = self._probed if again else self._next_target()
+        self._probed_twice = again
+        self._probed = target
+        sends = self.push(REFUTE_FANOUT) if self._is_suspected else []
+        self._is_suspected = False
+        suspects = self._suspects_to_probe[:MAX_SUSPECT_PROBES]
+        del self._suspects_to_probe[:MAX_SUSPECT_PROBES]
+        targets = dict.fromkeys([*suspects, target])
         sends += [
-            self._send(name, PROBE) for name in asked if name in self._known
+            self._send(name, PROBE) for name in targets if name in self._peers
         ]
         return sends
 
     def push(self, fanout: int = FANOUT) -> list[Send]:
-        """Sends to a few at once, for news that must not wait."""
-        names = [known.member.instance for known in self._known.values()]
+        """Sends to a few instances at once, for news that must not wait."""
+        names = [peer.member.instance for peer in self._peers.values()]
         chosen = self._rng.sample(names, min(fanout, len(names)))
         return [self._send(name, PROBE) for name in chosen]
 
     def receive(self, gossip: Gossip, now: float) -> list[Send]:
-        """Takes a datagram; returns the answer to it."""
+        """Processes a datagram; returns the answer to it."""
         if gossip.sender.instance == self.own.instance:
             return []
-        if self._awaited == gossip.sender.instance:
-            self._awaited = None
+        if self._probed == gossip.sender.instance:
+            self._probed = None
         for member in (*gossip.members, gossip.sender):
-            self._learn(member, now)
-        sender = self._known.get(gossip.sender.instance)
+            self._merge_record(member, now)
+        sender = self._peers.get(gossip.sender.instance)
         if sender is not None:
-            sender.spoke = now
+            sender.last_message_at = now
         for notice in gossip.notices:
             self.notice(notice)
         if gossip.kind != PROBE:
             return []
-        if gossip.sender.instance not in self._known:
+        if gossip.sender.instance not in self._peers:
             return []
         return [self._send(gossip.sender.instance, ACK)]
 
-    def _learn(self, word: Member, now: float) -> None:
-        if word.instance == self.own.instance:
-            # Whatever others think of this instance, each of its own probes
-            # carries a newer word than theirs.
-            self._doubted |= word.state in (SUSPECT, FAILED)
+    def _merge_record(self, record: Member, now: float) -> None:
+        if record.instance == self.own.instance:
+            # Each probe of this instance carries a newer record of it than
+            # those that others hold.
+            self._is_suspected |= record.state in (SUSPECT, FAILED)
             return
-        known = self._known.get(word.instance)
-        if known is not None and not _newer(word, known.member):
-            self._weigh(word, known, now)
+        peer = self._peers.get(record.instance)
+        if peer is not None and not _supersedes(record, peer.member):
+            self._handle_old_suspicion(record, peer, now)
             return
-        if known is None and word.state == FAILED:
+        if peer is None and record.state == FAILED:
             return
-        changed = known is None or (
-            known.member.state != word.state
-            or known.member.incarnation != word.incarnation
+        changed = peer is None or (
+            peer.member.state != record.state
+            or peer.member.incarnation != record.incarnation
+        )
+        since = now if changed or peer is None else peer.since
+        last_message_at = (
+            peer.last_message_at if peer is not None else float("-inf")
         )
-        since = now if changed or known is None else known.since
-        spoke = known.spoke if known is not None else float("-inf")
-        self._known[word.instance] = _Known(word, since, spoke)
+        self._peers[record.instance] = _Peer(record, since, last_message_at)
         if changed:
-            self._left[word.instance] = self._transmissions()
-            if word.state == SUSPECT:
-                self._unchecked.append(word.instance)
-
-    def _weigh(self, word: Member, known: _Known, now: float) -> None:
-        """Takes a suspicion that is older than what is known here.
-
-        The suspect's beat rises with each datagram, and most hold a newer one
-        than whoever suspects it. Were the suspicion passed over for that, a
-        dead one would stay alive in their views until each had probed it
-        itself.
+            self._transmissions_left[record.instance] = self._transmissions()
+            if record.state == SUSPECT:
+                self._suspects_to_probe.append(record.instance)
+
+    def _handle_old_suspicion(
+        self, record: Member, peer: _Peer, now: float
+    ) -> None:
+        """Handles a suspicion that is older than the record known here.
+
+        The suspect's beat increases with each datagram, and most instances hold
+        a newer one than the instance that suspects it. If such a suspicion were
+        ignored, a dead instance would stay alive in their views until each had
+        probed it itself.
         """
-        if word.state not in (SUSPECT, FAILED) or known.member.state != ALIVE:
+        if record.state not in (SUSPECT, FAILED) or peer.member.state != ALIVE:
             return
-        if now - known.spoke < self._suspect_after_s * DENY_SHARE:
-            self._left[word.instance] = self._transmissions()
+        if now - peer.last_message_at < self._suspect_after_s * REFUTE_SHARE:
+            self._transmissions_left[record.instance] = self._transmissions()
             return
-        self._mark(word.instance, SUSPECT, now)
-        self._unchecked.append(word.instance)
+        self._set_state(record.instance, SUSPECT, now)
+        self._suspects_to_probe.append(record.instance)
 
-    def _speak(self, state: str) -> None:
+    def _update_own_record(self, state: str) -> None:
         self.own = dataclasses.replace(
             self.own, state=state, beat=self.own.beat + 1
         )
 
-    def _asks_again(self) -> bool:
-        if self._asked_again:
+    def _must_probe_again(self) -> bool:
+        if self._probed_twice:
             return False
-        awaited = self._known.get(self._awaited or "")
-        return awaited is not None and awaited.member.state == ALIVE
-
-    def _judge(self, now: float) -> None:
-        awaited = self._known.get(self._awaited or "")
-        answers = awaited is None or not self._asked_again
-        if not answers and awaited.member.state == ALIVE:
-            self._mark(awaited.member.instance, SUSPECT, now)
-        for name, known in list(self._known.items()):
-            age = now - known.since
-            state = known.member.state
+        probed = self._peers.get(self._probed or "")
+        return probed is not None and probed.member.state == ALIVE
+
+    def _update_states(self, now: float) -> None:
+        probed = self._peers.get(self._probed or "")
+        answers = probed is None or not self._probed_twice
+        if not answers and probed.member.state == ALIVE:
+            self._set_state(probed.member.instance, SUSPECT, now)
+        for name, peer in list(self._peers.items()):
+            age = now - peer.since
+            state = peer.member.state
             if state == SUSPECT and age > self._suspect_after_s:
-                self._mark(name, FAILED, now)
+                self._set_state(name, FAILED, now)
             elif state in (FAILED, LEAVING) and age > FORGET_AFTER_S:
-                del self._known[name]
-                self._left.pop(name, None)
+                del self._peers[name]
+                self._transmissions_left.pop(name, None)
 
-    def _mark(self, name: str, state: str, now: float) -> None:
-        member = dataclasses.replace(self._known[name].member, state=state)
-        self._known[name] = _Known(member, now, self._known[name].spoke)
-        self._left[name] = self._transmissions()
+    def _set_state(self, name: str, state: str, now: float) -> None:
+        member = dataclasses.replace(self._peers[name].member, state=state)
+        self._peers[name] = _Peer(
+            member, now, self._peers[name].last_message_at
+        )
+        self._transmissions_left[name] = self._transmissions()
 
     def _next_target(self) -> str | None:
-        # A shuffled round-robin: everyone is probed once a round, so the
-        # time to detect a failure is bounded and not only likely.
+        # A shuffled round-robin: each instance is probed once a round, so the
+        # time to detect a failure is bounded, not merely probable.
         failed = [
             name
-            for name, known in self._known.items()
-            if known.member.state == FAILED
+            for name, peer in self._peers.items()
+            if peer.member.state == FAILED
         ]
         if failed and self._rng.random() < REVISIT_SHARE:
             return self._rng.choice(failed)
-        while self._round:
-            name = self._round.pop()
-            known = self._known.get(name)
-            if known is not None and known.member.state != FAILED:
+        while self._probe_queue:
+            name = self._probe_queue.pop()
+            peer = self._peers.get(name)
+            if peer is not None and peer.member.state != FAILED:
                 return name
-        self._round = [
+        self._probe_queue = [
             name
-            for name, known in self._known.items()
-            if known.member.state != FAILED
+            for name, peer in self._peers.items()
+            if peer.member.state != FAILED
         ]
-        self._rng.shuffle(self._round)
-        return self._round.pop() if self._round else None
+        self._rng.shuffle(self._probe_queue)
+        return self._probe_queue.pop() if self._probe_queue else None
 
     def _send(self, name: str, kind: str) -> Send:
         members = []
-        target = self._known[name].member
+        target = self._peers[name].member
         if target.state in (SUSPECT, FAILED):
-            # It must know to deny it.
+            # The target must receive the suspicion to refute it.
             members.append(target)
-        for key in self._freshest(self._left, MAX_RECORDS):
-            if key in self._known and key != name:
-                members.append(self._known[key].member)
+        for key in self._take_least_sent(self._transmissions_left, MAX_RECORDS):
+            if key in self._peers and key != name:
+                members.append(self._peers[key].member)
         notices = [
             self._notices[key]
-            for key in self._freshest(self._notices_left, MAX_RECORDS)
+            for key in self._take_least_sent(
+                self._notice_transmissions_left, MAX_RECORDS
+            )
         ]
         gossip = Gossip(kind, self.own, members, notices, self.pointer)
         return Send(target.peers, gossip)
 
-    def _freshest(self, left: dict[str, int], count: int) -> list[str]:
+    def _take_least_sent(self, left: dict[str, int], count: int) -> list[str]:
         keys = sorted(left, key=lambda key: (-left[key], key))[:count]
         for key in keys:
             left[key] -= 1
@@ -330,12 +345,12 @@
         return keys
 
     def _transmissions(self) -> int:
-        return RETRANSMIT * math.ceil(math.log2(len(self._known) + 2))
+        return RETRANSMIT_FACTOR * math.ceil(math.log2(len(self._peers) + 2))
 
 
-def _newer(word: Member, held: Member) -> bool:
-    if word.incarnation != held.incarnation:
-        return word.incarnation > held.incarnation
-    if word.beat != held.beat:
-        return word.beat > held.beat
-    return _SEVERITY[word.state] > _SEVERITY[held.state]
+def _supersedes(record: Member, held: Member) -> bool:
+    if record.incarnation != held.incarnation:
+        return record.incarnation > held.incarnation
+    if record.beat != held.beat:
+        return record.beat > held.beat
+    return _SEVERITY[record.state] > _SEVERITY[held.state]
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -1,8 +1,9 @@
-"""Words between the instances of a platform: datagrams and snapshots.
+"""Messages between the instances of a platform: datagrams and snapshots.
 
-Each instance sends what it has under way and how new its knowledge is to a
-few others several times a second, and probes one other for life. One that is
-behind, as when the store turns it away, fetches what it lacks from another.
+Each instance sends its load and the versions of its data to a few others
+several times a second, and probes one other to check that it is alive. An
+instance whose data is behind, as when the store rejects its calls, fetches the
+missing rows from another instance.
 """
 
 import dataclasses
@@ -46,61 +47,67 @@
 )
 from jasminerelay.standings import PeerStandings
 
-LOAD_EVERY_S = 0.1
-"""How often loads are sent while they change. Choices by loads that are older
-send several instances to the same server at once."""
+LOAD_INTERVAL_S = 0.1
+"""Interval between load reports while loads change. With older reports several
+instances send their requests to the same server at once."""
 
 LOAD_FANOUT = 16
-"""Others that get the loads each time, whatever the number of instances."""
+"""Instances that receive each load report, whatever their total number."""
 
-OWNERS_TOLD = 12
-"""Owners of cells that an owner tells each time, in place of as many others.
-They pass requests on by it; the others need it only where owners fail."""
+OWNER_FANOUT = 12
+"""Of these, how many are cell owners when the sender owns cells. Owners forward
+requests by these reports; other instances need them only when an owner
+fails."""
 
-PROBE_EVERY = 2
-"""Probes are sent every so many rounds of loads: the others' death must show
-before callers' entry lists expire."""
+PROBE_ROUNDS = 2
+"""Load rounds between two probes. The failure of an instance must be detected
+before the entry lists of callers expire."""
 
-LEAD_EVERY = 4
-"""Rounds between two words of who follows the store to those who do not."""
+FOLLOWER_ROUNDS = 4
+"""Load rounds between two messages of a follower to the instances of its zone
+that do not follow the store themselves."""
 
 SUSPECT_S = 0.8
-"""Silence after a missed probe until an instance counts as failed."""
+"""Time without a message after a missed probe until an instance counts as
+failed."""
 
 GREET_EVERY_S = 2.0
-"""How often addresses of unknown instances are tried."""
+"""Interval between attempts to reach addresses of unknown instances."""
 
-GREET_SOON_S = 0.2
-GREET_SOON_FOR_S = 5.0
-"""How often they are tried at first, and for how long. Where all instances are
-started at once the first tries come before the others listen; with the usual
-pace each took itself for the only one for two seconds, and filled the engines
-as if nobody else sent to them."""
+GREET_EARLY_INTERVAL_S = 0.2
+GREET_EARLY_FOR_S = 5.0
+"""Interval between these attempts after the start, and for how long it applies.
+If all instances start at once, the first attempts are sent before the others
+listen. At the usual interval each instance considered itself the only one for
+two seconds, and filled the engines as if no other instance sent requests to
+them."""
 
 GREET_AT_ONCE = 8
-"""Addresses tried at once; gossip brings the rest."""
+"""Addresses tried in one attempt; gossip supplies the rest."""
 
 FETCH_TIMEOUT_S = 1.0
 
 MAX_OUTGOING = 200
-"""Datagrams that wait to be sent; more are dropped, as a full link would."""
+"""Datagrams that may wait to be sent; more are dropped, as on a full link."""
 
 SNAPSHOT_PATH = "/snapshot"
-KNOWN_FIELD = "configuration"
-SINCE_FIELD = "servers"
-"""Fields of its query: the version of the configuration that the asker has, and
-the store's version up to which it knows all servers' rows."""
+CONFIGURATION_FIELD = "configuration"
+SERVERS_FIELD = "servers"
+"""Query fields of a snapshot request: the version of the requester's
+configuration, and the store's version up to which the requester has all
+servers' rows."""
 
-PACK_LEVEL = 1
-"""Quickest compression. A configuration shrinks to a sixth, and one instance
-gives it to several others for each change, in series some times a second."""
+COMPRESSION_LEVEL = 1
+"""Fastest compression level. It shrinks a configuration to a sixth, and one
+instance sends it to several others for each change, sometimes several times a
+second."""
 
 _encode = msgspec.msgpack.encode
 _decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
 class PeerLink:
-    """Owns the datagram socket and this instance's view of the others."""
+    """Exchanges messages with other instances, and tracks their state."""
 
     def __init__(
         self,
@@ -133,72 +140,72 @@
         self._followers: Followers | None = None
         self.on_snapshot: Callable[[Snapshot, str], None] = lambda *_: None
         self.on_store_lost: Callable[[], None] = lambda: None
-        self.on_crashes: Callable[[CrashWord], None] = lambda word: None
-        self.on_limits: Callable[[LimitWord], None] = lambda word: None
-        self.on_duty: Callable[[DutyWord], None] = lambda word: None
+        self.on_crashes: Callable[[CrashWord], None] = lambda message: None
+        self.on_limits: Callable[[LimitWord], None] = lambda message: None
+        self.on_duty: Callable[[DutyWord], None] = lambda message: None
 
     @property
     def count(self) -> int:
-        """How many instances share the work, this one included."""
+        """Number of live instances, including this one."""
         return max(1, len(self.membership.live()))
 
     @property
     def known(self) -> int:
-        """How many instances are known at all, failed ones included."""
+        """Number of instances in the membership list, including failed ones."""
         return len(self.membership.view)
 
     def meet(self, addresses: set[str]) -> None:
-        """Adds addresses at which instances may be."""
+        """Adds addresses at which other instances may listen."""
         self._addresses |= addresses - {self.membership.own.peers}
 
     def enter(self) -> None:
-        """Tells the others that this instance takes callers."""
+        """Announces that this instance accepts callers."""
         self._send_all(self.membership.enter())
 
     def leave(self) -> None:
-        """Tells the others that this instance takes no more callers."""
+        """Announces that this instance accepts no more callers."""
         self._send_all(self.membership.leave())
 
     def wire_cells(
         self, owned: OwnedCells, asking: AskingRoom, followers: Followers
     ) -> None:
-        """Sets what many instances share.
+        """Connects the components for cells and for following the store.
 
         Args:
-            owned: Decides for cells here.
-            asking: Asks other instances.
-            followers: Says who follows the store for whom.
+            owned: Decides for the cells that this instance owns.
+            asking: Requests placements from the owners of cells.
+            followers: Decides which instances follow the store for others.
         """
         self._owned = owned
         self._asking = asking
         self._followers = followers
-        owned.answer = self._answer
-        asking.send = self._ask
+        owned.answer = self._send_answer
+        asking.send = self._send_to_owner
 
     def tell(
-        self, member: Member, word: CrashWord | LimitWord | DutyWord
+        self, member: Member, message: CrashWord | LimitWord | DutyWord
     ) -> None:
-        """Sends a word to another instance."""
-        self._send_to(member.peers, peerwords.encode(word))
+        """Sends a message to another instance."""
+        self._send_to(member.peers, peerwords.encode(message))
 
-    def _ask(self, owner: Member, word: PlaceWord) -> None:
+    def _send_to_owner(self, owner: Member, message: PlaceWord) -> None:
         if owner.instance == self.membership.own.instance:
-            self._owned.hear(word)
+            self._owned.hear(message)
         else:
-            self._send_to(owner.peers, peerwords.encode(word))
+            self._send_to(owner.peers, peerwords.encode(message))
 
-    def _answer(self, address: str, word: OwnerWord) -> None:
+    def _send_answer(self, address: str, message: OwnerWord) -> None:
         if address == self.membership.own.peers:
-            self._asking.hear(word)
+            self._asking.hear(message)
         else:
-            self._send_to(address, peerwords.encode(word))
+            self._send_to(address, peerwords.encode(message))
 
     @property
-    def _by_owners(self) -> bool:
+    def _uses_owners(self) -> bool:
         return self._asking is not None and self._asking.active
 
     async def run(self) -> None:
-        """Talks to the others until cancelled."""
+        """Exchanges messages with the other instances until cancelled."""
         host, _, port = self.membership.own.peers.rpartition(":")
         async with (
             await anyio.create_udp_socket(
@@ -209,57 +216,59 @@
             group.start_soon(self._receive, udp)
             group.start_soon(self._send_queued, udp)
             group.start_soon(self._catch_up)
-            await self._talk()
+            await self._run_rounds()
 
-    async def _talk(self) -> None:
+    async def _run_rounds(self) -> None:
         rounds = 0
-        greeted = float("-inf")
+        last_greeted_at = float("-inf")
         began = time.monotonic()
         while True:
             now = time.monotonic()
-            soon = now - began < GREET_SOON_FOR_S
-            if now - greeted > (GREET_SOON_S if soon else GREET_EVERY_S):
-                greeted = now
+            is_early = now - began < GREET_EARLY_FOR_S
+            if now - last_greeted_at > (
+                GREET_EARLY_INTERVAL_S if is_early else GREET_EVERY_S
+            ):
+                last_greeted_at = now
                 self._greet()
-            if rounds % PROBE_EVERY == 0:
+            if rounds % PROBE_ROUNDS == 0:
                 self._send_all(self.membership.probe(now))
                 self._note_changes()
             changed = self._dispatcher.workload.changed
             self._dispatcher.workload.changed = False
-            if len(self._owned) if self._by_owners else changed:
+            if len(self._owned) if self._uses_owners else changed:
                 self._send_loads()
-            if rounds % LEAD_EVERY == 0:
+            if rounds % FOLLOWER_ROUNDS == 0:
                 self.tell_standing()
             rounds += 1
-            await anyio.sleep(LOAD_EVERY_S * self._rng.uniform(0.9, 1.1))
+            await anyio.sleep(LOAD_INTERVAL_S * self._rng.uniform(0.9, 1.1))
 
     def tell_standing(self) -> None:
-        """Tells those who follow through this instance how new it is.
+        """Sends the data's versions to instances that depend on this one.
 
-        Where that is newer they fetch the rows from here, in place of asking
-        the store each.
+        Where the versions are newer, those instances fetch the rows from here
+        instead of asking the store each.
         """
-        self._tell(self._followers.led())
+        self._send_standing(self._followers.led())
 
     def tell_news(self) -> None:
-        """Tells the others what the store has proved, or that it is lost.
+        """Notifies the others that the store confirmed the data, or is lost.
 
-        Those that know no less hold their knowledge for as young, and need
+        An instance with the same versions adopts the age of the data, and need
         not ask the store.
         """
-        self._tell(self._followers.told())
+        self._send_standing(self._followers.told())
 
     def without_store(self) -> list[str]:
-        """Returns the instances that have lost the store, this one included."""
+        """Returns the instances without the store, including this one."""
         lost = self.standings.without_store()
         if self._registry.standing.touch == Touch.LOST:
             lost.append(self.membership.own.instance)
         return lost
 
-    def _tell(self, members: list[Member]) -> None:
+    def _send_standing(self, members: list[Member]) -> None:
         if not members:
             return
-        data = peerwords.encode(self._word(None))
+        data = peerwords.encode(self._peer_message(None))
         for member in members:
             self._send_to(member.peers, data)
 
@@ -275,26 +284,26 @@
             if member.state in (ALIVE, LEAVING)
         ]
         chosen = self._rng.sample(peers, min(LOAD_FANOUT, len(peers)))
-        if self._by_owners:
+        if self._uses_owners:
             owners = self._asking.owners()
-            count = min(OWNERS_TOLD, len(owners))
+            count = min(OWNER_FANOUT, len(owners))
             chosen = self._rng.sample(owners, count) + chosen[count:]
-        word = dataclasses.replace(
-            self._word(None), samples=self._dispatcher.engines.untold()
+        message = dataclasses.replace(
+            self._peer_message(None), samples=self._dispatcher.engines.untold()
         )
-        data = peerwords.encode(word)
+        data = peerwords.encode(message)
         for member in chosen:
             self._send_to(member.peers, data)
 
     def _send_all(self, sends: list[Send]) -> None:
         for send in sends:
-            data = peerwords.encode(self._word(send.gossip))
+            data = peerwords.encode(self._peer_message(send.gossip))
             self._send_to(send.address, data)
 
-    def _word(self, gossip) -> PeerWord:
+    def _peer_message(self, gossip) -> PeerWord:
         self._number += 1
         now = time.monotonic()
-        if self._by_owners:
+        if self._uses_owners:
             loads, demand = self._owned.loads(now), self._owned.demand()
             queues = self._owned.told_queues()
         else:
@@ -336,63 +345,64 @@
             try:
                 data, _ = await udp.receive()
             except OSError as exc:
-                # An unreachable peer's error shows on the next receive.
+                # The error of a send to an unreachable peer is raised by the
+                # next receive.
                 self._counters.incr("peer.receive_failed")
                 self._log.info("peer_error", why=repr(exc))
                 continue
             try:
-                word = peerwords.decode(data)
+                message = peerwords.decode(data)
             except ValueError:
                 self._counters.incr("peer.unreadable")
                 continue
-            self._take(word)
+            self._dispatch(message)
 
     @functools.singledispatchmethod
-    def _take(self, word: PlaceWord) -> None:
-        self._owned.hear(word)
+    def _dispatch(self, message: PlaceWord) -> None:
+        self._owned.hear(message)
 
-    @_take.register
-    def _(self, word: OwnerWord) -> None:
-        self._asking.hear(word)
+    @_dispatch.register
+    def _(self, message: OwnerWord) -> None:
+        self._asking.hear(message)
 
-    @_take.register
-    def _(self, word: CrashWord) -> None:
-        self.on_crashes(word)
+    @_dispatch.register
+    def _(self, message: CrashWord) -> None:
+        self.on_crashes(message)
 
-    @_take.register
-    def _(self, word: LimitWord) -> None:
-        self.on_limits(word)
+    @_dispatch.register
+    def _(self, message: LimitWord) -> None:
+        self.on_limits(message)
 
-    @_take.register
-    def _(self, word: DutyWord) -> None:
-        self.on_duty(word)
+    @_dispatch.register
+    def _(self, message: DutyWord) -> None:
+        self.on_duty(message)
 
-    @_take.register
-    def _(self, word: PeerWord) -> None:
-        self._hear(word)
+    @_dispatch.register
+    def _(self, message: PeerWord) -> None:
+        self._handle_peer_message(message)
 
-    def _hear(self, word: PeerWord) -> None:
+    def _handle_peer_message(self, message: PeerWord) -> None:
         now = time.monotonic()
-        if word.sender == self.membership.own.instance:
+        if message.sender == self.membership.own.instance:
             return
-        if self.standings.reports_store_loss(word.sender, word.standing):
+        if self.standings.reports_store_loss(message.sender, message.standing):
             self.on_store_lost()
-        self.standings.hear(word.sender, word.standing, now, now_s())
-        loads = peerwords.load_rows(word.loads)
-        self._dispatcher.hear_loads(word.sender, word.number, loads, now)
-        demand = peerwords.demand_rows(word.demand)
-        self._dispatcher.demand.hear(word.sender, demand, now)
-        self._dispatcher.engines.hear(word.samples, now)
+        self.standings.hear(message.sender, message.standing, now, now_s())
+        loads = peerwords.load_rows(message.loads)
+        self._dispatcher.hear_loads(message.sender, message.number, loads, now)
+        demand = peerwords.demand_rows(message.demand)
+        self._dispatcher.demand.hear(message.sender, demand, now)
+        self._dispatcher.engines.hear(message.samples, now)
         if self._owned is not None:
-            self._owned.queues.hear(word.queues, now)
-            if word.standing.touch != Touch.LOST:
-                self._followers.heard(word.sender, now)
-        if word.gossip is not None:
-            self._send_all(self.membership.receive(word.gossip, now))
+            self._owned.queues.hear(message.queues, now)
+            if message.standing.touch != Touch.LOST:
+                self._followers.heard(message.sender, now)
+        if message.gossip is not None:
+            self._send_all(self.membership.receive(message.gossip, now))
 
     async def _catch_up(self) -> None:
         while True:
-            await anyio.sleep(LOAD_EVERY_S)
+            await anyio.sleep(LOAD_INTERVAL_S)
             name = self.standings.ahead(time.monotonic())
             if name is not None:
                 await self._fetch(name)
@@ -408,16 +418,16 @@
         )
         if address is None:
             return
-        known = self._registry.standing.configuration_version
+        own_version = self._registry.standing.configuration_version
         exchange = Exchange(
             "GET",
-            f"http://{address}{SNAPSHOT_PATH}?{KNOWN_FIELD}={known}"
-            f"&{SINCE_FIELD}={self._registry.delta_base_version}",
+            f"http://{address}{SNAPSHOT_PATH}?{CONFIGURATION_FIELD}={own_version}"
+            f"&{SERVERS_FIELD}={self._registry.delta_base_version}",
             timeout_s=FETCH_TIMEOUT_S,
         )
         try:
             reply = await self._client.call(exchange)
-            snapshot = unpacked(_decode_snapshot(reply.body))
+            snapshot = decompressed(_decode_snapshot(reply.body))
         except (
             NotSentError,
             BrokenError,
@@ -442,11 +452,11 @@
 
 
 class SnapshotApp:
-    """Gives this instance's knowledge to others, as an ASGI application."""
+    """ASGI application that serves this instance's snapshots to others."""
 
     def __init__(self, registry: Registry):
         self._registry = registry
-        self._packed = (0, b"")
+        self._compressed = (0, b"")
 
     async def __call__(self, scope, receive, send) -> None:
         """Answers one request."""
@@ -454,12 +464,14 @@
             return
         found = scope["path"] == SNAPSHOT_PATH
         query = parse_qs(scope["query_string"].decode("latin-1"))
-        known = _version(query, KNOWN_FIELD)
-        since = _version(query, SINCE_FIELD)
+        receiver_version = _version(query, CONFIGURATION_FIELD)
+        since = _version(query, SERVERS_FIELD)
         body = b""
         if found:
             body = _encode(
-                self._pack(self._registry.export_snapshot(known, since))
+                self._compress(
+                    self._registry.export_snapshot(receiver_version, since)
+                )
             )
         await send(
             {
@@ -470,20 +482,20 @@
         )
         await send({"type": "http.response.body", "body": body})
 
-    def _pack(self, snapshot: Snapshot) -> Snapshot:
+    def _compress(self, snapshot: Snapshot) -> Snapshot:
         if not snapshot.configuration:
             return snapshot
-        if self._packed[0] != snapshot.configuration_version:
-            data = zlib.compress(snapshot.configuration, PACK_LEVEL)
-            self._packed = (snapshot.configuration_version, data)
-        return dataclasses.replace(snapshot, configuration=self._packed[1])
+        if self._compressed[0] != snapshot.configuration_version:
+            data = zlib.compress(snapshot.configuration, COMPRESSION_LEVEL)
+            self._compressed = (snapshot.configuration_version, data)
+        return dataclasses.replace(snapshot, configuration=self._compressed[1])
 
 
-def unpacked(snapshot: Snapshot) -> Snapshot:
-    """Returns a snapshot as it was before its way.
+def decompressed(snapshot: Snapshot) -> Snapshot:
+    """Returns a snapshot with its configuration decompressed.
 
     Raises:
-        zlib.error: if its configuration cannot be read.
+        zlib.error: if the configuration cannot be decompressed.
     """
     if not snapshot.configuration:
         return snapshot
@@ -492,6 +504,6 @@
 
 
 def _version(query: dict[str, list[str]], field: str) -> int:
-    """Returns a version of a snapshot's query; 0 without one."""
+    """Returns a version from a snapshot request's query; 0 if there is none."""
     value = query.get(field, ["0"])[0]
     return int(value) if value.isdecimal() else 0
--- a/src/jasminerelay/peerwords.py
+++ b/src/jasminerelay/peerwords.py
@@ -1,8 +1,8 @@
-"""Datagrams between the instances of a platform, as bytes.
+"""Encoding of the datagrams between the instances of a platform.
 
-Pure. Loads and demand travel as a list for each field. With a map for each
-row, names of fields were two thirds of a datagram, and datagrams are most of
-what instances send across availability zones.
+This module does no I/O. Loads and demand are encoded as one list for each
+field. With a map for each row, field names were two thirds of a datagram, and
+datagrams are most of the traffic of instances across availability zones.
 """
 
 import functools
@@ -29,10 +29,10 @@
 CRASH_MARK = b"\x03"
 LIMIT_MARK = b"\x04"
 DUTY_MARK = b"\x05"
-"""First bytes that tell the kinds of datagrams apart; one without is a
-`PeerWord`, whose first byte is that of a map."""
+"""First bytes that distinguish the kinds of datagrams. The periodic message to
+other instances has none; it starts with the first byte of a map."""
 
-Word = PeerWord | PlaceWord | OwnerWord | CrashWord | LimitWord | DutyWord
+Message = PeerWord | PlaceWord | OwnerWord | CrashWord | LimitWord | DutyWord
 
 _encode = msgspec.msgpack.encode
 _decode_peer = msgspec.msgpack.Decoder(PeerWord).decode
@@ -44,41 +44,41 @@
 
 
 @functools.singledispatch
-def encode(word: Word) -> bytes:
-    """Writes a datagram."""
-    return _encode(word)
+def encode(message: Message) -> bytes:
+    """Encodes a message as a datagram."""
+    return _encode(message)
 
 
 @encode.register
-def _(word: PlaceWord) -> bytes:
-    return PLACE_MARK + _encode(word)
+def _(message: PlaceWord) -> bytes:
+    return PLACE_MARK + _encode(message)
 
 
 @encode.register
-def _(word: OwnerWord) -> bytes:
-    return OWNER_MARK + _encode(word)
+def _(message: OwnerWord) -> bytes:
+    return OWNER_MARK + _encode(message)
 
 
 @encode.register
-def _(word: CrashWord) -> bytes:
-    return CRASH_MARK + _encode(word)
+def _(message: CrashWord) -> bytes:
+    return CRASH_MARK + _encode(message)
 
 
 @encode.register
-def _(word: LimitWord) -> bytes:
-    return LIMIT_MARK + _encode(word)
+def _(message: LimitWord) -> bytes:
+    return LIMIT_MARK + _encode(message)
 
 
 @encode.register
-def _(word: DutyWord) -> bytes:
-    return DUTY_MARK + _encode(word)
+def _(message: DutyWord) -> bytes:
+    return DUTY_MARK + _encode(message)
 
 
-def decode(data: bytes) -> Word:
-    """Reads a datagram.
+def decode(data: bytes) -> Message:
+    """Decodes a datagram.
 
     Raises:
-        ValueError: if it cannot be read, or its lists differ in length.
+        ValueError: if it is malformed, or its lists differ in length.
     """
     mark = data[:1]
     if mark == PLACE_MARK:
@@ -94,47 +94,47 @@
     return _checked_peer(_decode_peer(data))
 
 
-def _checked_place(word: PlaceWord) -> PlaceWord:
-    for ask in word.asks:
-        _check_even(ask.parts, ask.part_tokens)
-    return word
+def _checked_place(message: PlaceWord) -> PlaceWord:
+    for placement in message.asks:
+        _check_equal_lengths(placement.parts, placement.part_tokens)
+    return message
 
 
-def _checked_crash(word: CrashWord) -> CrashWord:
-    for item in word.requests:
-        _check_even(item.servers, item.ages_ms)
-    return word
+def _checked_crash(message: CrashWord) -> CrashWord:
+    for item in message.requests:
+        _check_equal_lengths(item.servers, item.ages_ms)
+    return message
 
 
-def _checked_limit(word: LimitWord) -> LimitWord:
-    for item in word.limits:
+def _checked_limit(message: LimitWord) -> LimitWord:
+    for item in message.limits:
         if not math.isfinite(item.rate):
-            raise ValueError("a limit of a datagram is no number")
-    return word
+            raise ValueError("rate limit in a datagram is not a finite number")
+    return message
 
 
-def _checked_duty(word: DutyWord) -> DutyWord:
-    for item in word.usage:
-        _check_even(item.organisations, item.counts)
-    _check_demand(word.demand)
-    return word
+def _checked_duty(message: DutyWord) -> DutyWord:
+    for item in message.usage:
+        _check_equal_lengths(item.organisations, item.counts)
+    _check_demand(message.demand)
+    return message
 
 
-def _checked_peer(word: PeerWord) -> PeerWord:
-    loads, demand = word.loads, word.demand
-    _check_even(
+def _checked_peer(message: PeerWord) -> PeerWord:
+    loads, demand = message.loads, message.demand
+    _check_equal_lengths(
         loads.servers, loads.unread, loads.running, loads.memory, loads.token_us
     )
     _check_demand(demand)
-    return word
+    return message
 
 
 def _check_demand(demand: DemandColumns) -> None:
-    _check_even(demand.kinds, demand.work, demand.size, demand.ranks)
+    _check_equal_lengths(demand.kinds, demand.work, demand.size, demand.ranks)
 
 
 def load_columns(loads: Iterable[ServerLoad]) -> LoadColumns:
-    """Returns loads as they travel."""
+    """Converts loads to lists, one for each field."""
     columns = LoadColumns([], [], [], [], [])
     for item in loads:
         columns.servers.append(item.server)
@@ -146,7 +146,7 @@
 
 
 def load_rows(columns: LoadColumns) -> list[ServerLoad]:
-    """Returns loads that came."""
+    """Converts lists of fields back to loads."""
     return [
         ServerLoad(*row)
         for row in zip(
@@ -161,7 +161,7 @@
 
 
 def demand_columns(demand: Iterable[KindDemand]) -> DemandColumns:
-    """Returns demand as it travels."""
+    """Converts demand to lists, one for each field."""
     columns = DemandColumns([], [], [], [])
     for item in demand:
         columns.kinds.append(item.kind)
@@ -172,7 +172,7 @@
 
 
 def demand_rows(columns: DemandColumns) -> list[KindDemand]:
-    """Returns demand that came."""
+    """Converts lists of fields back to demand."""
     return [
         KindDemand(*row)
         for row in zip(
@@ -185,6 +185,6 @@
     ]
 
 
-def _check_even(*lists: list) -> None:
+def _check_equal_lengths(*lists: list) -> None:
     if len({len(item) for item in lists}) != 1:
-        raise ValueError("lists of a datagram differ in length")
+        raise ValueError("lists in a datagram differ in length")
--- a/src/jasminerelay/watchdog.py
+++ b/src/jasminerelay/watchdog.py
@@ -1,9 +1,9 @@
-"""Time limits for many waits at the price of one timer.
+"""Deadlines for many waits with a single timer.
 
 A cancel scope with a deadline for each wait costs more than the wait itself
-when tokens flow: three of them a token took a fifth of a daemon's processor
-time. Here a wait only notes its deadline, and one task looks for those that
-are over.
+while tokens are streamed: three of them for each token took a fifth of a
+daemon's processor time. Here a wait only records its deadline, and one task
+searches for expired deadlines.
 """
 
 import math
@@ -16,7 +16,7 @@
 
 
 class Guard:
-    """The deadline of one place that waits.
+    """The deadline of one waiting task.
 
     Example:
         >>> guard = watchdog.guard(connection.abort)   # doctest: +SKIP
@@ -33,7 +33,7 @@
         self.expired = False
 
     def arm(self, seconds: float) -> None:
-        """Starts a wait; must end within the given seconds."""
+        """Starts a wait that must end within the given number of seconds."""
         self.deadline = time.monotonic() + seconds
 
     def disarm(self) -> None:
@@ -52,18 +52,18 @@
         return len(self._guards)
 
     def guard(self, expire: Callable[[], None]) -> Guard:
-        """Returns a guard that calls `expire` when its wait is too long."""
+        """Returns a guard that calls `expire` when its deadline passes."""
         guard = Guard(expire)
         self._guards.add(guard)
         self._wake.set()
         return guard
 
     def release(self, guard: Guard) -> None:
-        """Forgets a guard."""
+        """Removes a guard."""
         self._guards.discard(guard)
 
     async def run(self) -> None:
-        """Looks for waits that are over until cancelled."""
+        """Checks for expired waits until cancelled."""
         while True:
             if not self._guards:
                 self._wake = anyio.Event()
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -204,14 +204,14 @@
         "membership",
         "self.own, state=state, beat=self.own.beat + 1",
         "self.own, state=state",
-        "test_membership.MembershipTest.test_thawed_instance_refutes",
+        "test_membership.MembershipTest.test_resumed_instance_refutes",
     ),
     Safeguard(
         "failed instances are revisited",
         "membership",
         "if failed and self._rng.random() < REVISIT_SHARE:",
         "if False:",
-        "test_membership.MembershipTest.test_parted_halves_heal",
+        "test_membership.MembershipTest.test_partition_heals",
     ),
     Safeguard(
         "the lease counts from before its write",
@@ -620,8 +620,8 @@
     Safeguard(
         "instances greet soon after a start",
         "peerlink",
-        "soon = now - began < GREET_SOON_FOR_S",
-        "soon = False",
+        "is_early = now - began < GREET_EARLY_FOR_S",
+        "is_early = False",
         "test_platforminstances.MeetingTest.test_started_together",
     ),
     Safeguard(
@@ -655,16 +655,16 @@
     Safeguard(
         "a suspicion older than what is known counts",
         "membership",
-        "        self._mark(word.instance, SUSPECT, now)\n"
-        "        self._unchecked.append(word.instance)\n",
+        "        self._set_state(record.instance, SUSPECT, now)\n"
+        "        self._suspects_to_probe.append(record.instance)\n",
         "        return\n",
-        "test_membership.MembershipTest.test_death_among_many",
+        "test_membership.MembershipTest.test_failure_among_many",
     ),
     Safeguard(
         "who hears of a suspicion asks the suspect, too",
         "membership",
-        "checked = self._unchecked[:CHECKS_AT_ONCE]",
-        "checked = []",
+        "suspects = self._suspects_to_probe[:MAX_SUSPECT_PROBES]",
+        "suspects = []",
         "test_membership.MembershipTest.test_lost_datagrams_among_many",
     ),
     Safeguard(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership over a small network of views, without sockets."""
+"""Tests of membership on an in-memory network, without sockets."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 
 class Network:
-    """Delivers datagrams between views; some links may be cut."""
+    """Delivers datagrams between views; links may be cut and lossy."""
 
     def __init__(
         self,
@@ -65,9 +65,9 @@
 
 
 class MembershipTest(unittest.TestCase):
-    """Failures, freezes, leaves and cuts."""
+    """Failures, pauses, departures and network partitions."""
 
-    def test_silent_instance_is_found(self) -> None:
+    def test_unresponsive_instance_is_detected(self) -> None:
         network = Network(8)
         network.run(3.0)
         network.down.add("i3")
@@ -77,15 +77,16 @@
                 self.assertEqual(network.states(name)["i3"], FAILED)
 
     def test_lost_datagrams_among_many(self) -> None:
-        # One datagram in a hundred is lost, as on full links. Among many
-        # instances somebody's probe is lost at any moment. A living one that
-        # is taken as failed hands its cells to another, which knows nothing
-        # of their caches, and back again. The aim: each instance takes each
-        # other one as failed for less than one interval an hour.
+        # Guards against living instances that count as failed. One datagram in
+        # a hundred is lost, as on full links, so in a large platform some probe
+        # is lost at any moment. The cells of a living instance that counts as
+        # failed pass to another, which has no records of their caches, and back
+        # again. The target: each instance considers each other one as failed
+        # for less than one interval an hour.
         most = 0.2 / 3600
         for seed in range(5):
             network = Network(
-                150, seed, peerlink.SUSPECT_S, 2 * peerlink.LOAD_EVERY_S
+                150, seed, peerlink.SUSPECT_S, 2 * peerlink.LOAD_INTERVAL_S
             )
             network.loss = 0.01
             failed = rounds = 0
@@ -99,13 +100,13 @@
                 )
             self.assertLess(failed / (rounds * 150 * 149), most)
 
-    def test_death_among_many(self) -> None:
-        # The safeguards against lost datagrams must not hide a death: callers
-        # keep an entry list for two seconds, and after as long again nobody
-        # may name the dead one.
+    def test_failure_among_many(self) -> None:
+        # The safeguards against lost datagrams must not hide the failure of an
+        # instance: callers keep an entry list for two seconds, and after two
+        # more no entry list may contain the dead instance.
         for seed in range(5):
             network = Network(
-                150, seed, peerlink.SUSPECT_S, 2 * peerlink.LOAD_EVERY_S
+                150, seed, peerlink.SUSPECT_S, 2 * peerlink.LOAD_INTERVAL_S
             )
             network.loss = 0.01
             network.run(4.0)
@@ -115,9 +116,9 @@
                 if name != "i3":
                     self.assertEqual(network.states(name)["i3"], FAILED)
 
-    def test_thawed_instance_refutes(self) -> None:
-        # It was frozen for long enough that all others gave it up. It knows
-        # nothing of that; others tell it, and its newer word wins.
+    def test_resumed_instance_refutes(self) -> None:
+        # The instance was paused for so long that all others consider it
+        # failed. The others send it that record, and its newer record wins.
         network = Network(8)
         network.run(3.0)
         network.down.add("i3")
@@ -127,7 +128,7 @@
         for name in network.views:
             self.assertEqual(set(network.states(name).values()), {ALIVE})
 
-    def test_leave_reaches_all(self) -> None:
+    def test_departure_reaches_all(self) -> None:
         network = Network(8)
         network.run(3.0)
         network.deliver("i0", network.views["i0"].leave())
@@ -152,7 +153,7 @@
             self.assertEqual((found.incarnation, found.state), ("2", ALIVE))
 
     def test_one_way_cut_does_not_fail_anyone(self) -> None:
-        # i0 cannot reach i1, but others can; their newer word refutes the
+        # i0 cannot reach i1, but others can; the newer record of i1 refutes the
         # suspicion in time.
         network = Network(8)
         network.cut.add(("i0", "i1"))
@@ -164,12 +165,12 @@
         ]
         self.assertEqual(failed, [])
 
-    def test_parted_halves_heal(self) -> None:
+    def test_partition_heals(self) -> None:
         network = Network(6)
-        halves = ({"i0", "i1", "i2"}, {"i3", "i4", "i5"})
+        sides = ({"i0", "i1", "i2"}, {"i3", "i4", "i5"})
         network.cut = {
             (a, b)
-            for near, far in (halves, halves[::-1])
+            for near, far in (sides, sides[::-1])
             for a in near
             for b in far
         }
--- a/tests/test_snapshotchanges.py
+++ b/tests/test_snapshotchanges.py
@@ -1,7 +1,7 @@
-"""What another instance is told that lacks little of what is known.
+"""Tests of snapshots that contain only changes.
 
-Pattern: thousands of servers, a few of which change at a time, and hundreds of
-instances that learn of it from each other.
+The pattern is thousands of servers, of which a few change at a time, and
+hundreds of instances that receive the changes from each other.
 """
 
 import json
@@ -38,88 +38,90 @@
 
 
 def registry(count: int = 0, version: int = 1) -> Registry:
-    """Returns the knowledge of an instance that the store has told."""
+    """Returns the registry of an instance that has read the store."""
     made = Registry(documents.catalog, documents.server)
     made.take_all([row(f"s{n}", version) for n in range(count)], version)
     return made
 
 
 def names(of: Registry) -> dict[str, bool]:
-    """Returns the servers, and whether each drains."""
+    """Returns the names of the servers, and whether each is draining."""
     return {server.id: server.draining for server in of.servers()}
 
 
 class ChangesTest(unittest.TestCase):
-    """Only what has changed travels."""
+    """Only changes are sent."""
 
     def setUp(self) -> None:
-        self.told = registry(5)
-        self.behind = registry(5)
+        self.sender = registry(5)
+        self.receiver = registry(5)
 
-    def pass_on(self):
-        """Tells the one that is behind; returns what went."""
-        snapshot = self.told.export_snapshot(0, self.behind.delta_base_version)
-        self.behind.adopt(snapshot)
+    def send_snapshot(self):
+        """Sends a snapshot to the receiver and returns it."""
+        snapshot = self.sender.export_snapshot(
+            0, self.receiver.delta_base_version
+        )
+        self.receiver.adopt(snapshot)
         return snapshot
 
     def test_one_change_among_thousands_is_small(self) -> None:
-        # Guards against all rows sent to each of hundreds of instances for
-        # each change: links were full for seconds.
-        told, behind = registry(SERVERS), registry(SERVERS)
-        told.take_changes([row("s7", 2, phase="draining")], 2)
-        snapshot = told.export_snapshot(0, behind.delta_base_version)
+        # Guards against sending all rows to each of hundreds of instances for
+        # each change, which saturated links for seconds.
+        sender, receiver = registry(SERVERS), registry(SERVERS)
+        sender.take_changes([row("s7", 2, phase="draining")], 2)
+        snapshot = sender.export_snapshot(0, receiver.delta_base_version)
         self.assertLess(len(msgspec.msgpack.encode(snapshot)), MOST_BYTES)
-        behind.adopt(snapshot)
-        self.assertTrue(names(behind)["s7"])
-        self.assertEqual(len(names(behind)), SERVERS)
-
-    def test_removed_ones(self) -> None:
-        self.told.take_changes([ServerRow("s1", 2, None)], 2)
-        self.assertEqual(self.pass_on().servers, [])
-        self.assertNotIn("s1", names(self.behind))
-
-    def test_one_that_is_back_is_not_removed(self) -> None:
-        # Guards against streams moved from a server that has come back.
-        self.told.take_changes([ServerRow("s1", 2, None)], 2)
-        self.pass_on()
-        self.told.take_changes([row("s1", 3)], 3)
-        self.assertEqual(self.pass_on().gone, [])
-        self.assertIn("s1", names(self.behind))
-
-    def test_one_that_knows_nothing_gets_all(self) -> None:
-        self.behind = Registry(documents.catalog, documents.server)
-        self.assertEqual(len(self.pass_on().servers), 5)
-        self.assertEqual(names(self.behind), names(self.told))
-
-    def test_a_removal_that_is_no_longer_kept_brings_all(self) -> None:
-        # Guards against a server kept for good, as its removal was told to
-        # nobody who asked late.
-        self.told.take_changes([ServerRow("s1", 2, None)], 2)
+        receiver.adopt(snapshot)
+        self.assertTrue(names(receiver)["s7"])
+        self.assertEqual(len(names(receiver)), SERVERS)
+
+    def test_removed_servers(self) -> None:
+        self.sender.take_changes([ServerRow("s1", 2, None)], 2)
+        self.assertEqual(self.send_snapshot().servers, [])
+        self.assertNotIn("s1", names(self.receiver))
+
+    def test_returned_server_is_not_removed(self) -> None:
+        # Guards against streams moved away from a server that has returned.
+        self.sender.take_changes([ServerRow("s1", 2, None)], 2)
+        self.send_snapshot()
+        self.sender.take_changes([row("s1", 3)], 3)
+        self.assertEqual(self.send_snapshot().gone, [])
+        self.assertIn("s1", names(self.receiver))
+
+    def test_empty_receiver_gets_all_rows(self) -> None:
+        self.receiver = Registry(documents.catalog, documents.server)
+        self.assertEqual(len(self.send_snapshot().servers), 5)
+        self.assertEqual(names(self.receiver), names(self.sender))
+
+    def test_forgotten_removal_causes_a_full_snapshot(self) -> None:
+        # Guards against a server that stays in use for good, because its
+        # removal is no longer sent to instances that fetch late.
+        self.sender.take_changes([ServerRow("s1", 2, None)], 2)
         for number in range(2000):
             name, version = f"x{number}", 3 + 2 * number
-            self.told.take_changes([row(name, version)], version)
+            self.sender.take_changes([row(name, version)], version)
             gone = ServerRow(name, version + 1, None)
-            self.told.take_changes([gone], version + 1)
-        snapshot = self.pass_on()
+            self.sender.take_changes([gone], version + 1)
+        snapshot = self.send_snapshot()
         self.assertEqual(snapshot.since, 0)
-        self.assertEqual(names(self.behind), names(self.told))
-
-    def test_what_was_missed_before_is_found(self) -> None:
-        # Guards against a change that was lost on the way and stays unknown,
-        # since later ones are told without it.
-        self.told.take_changes([row("s1", 2, phase="draining")], 2)
-        self.behind.take_changes([], 2)
-        self.told.take_changes([row("s2", 3, phase="draining")], 3)
-        self.pass_on()
-        self.assertTrue(self.behind.is_behind(self.told.standing))
-        self.assertEqual(self.behind.delta_base_version, 0)
-        self.pass_on()
-        self.assertEqual(names(self.behind), names(self.told))
-
-    def test_one_with_lapsed_rows_gets_all(self) -> None:
-        self.behind.mark_store_unreachable()
-        self.behind.take_changes([ServerRow("s1", 2, None)], 2)
-        self.assertEqual(self.behind.delta_base_version, 0)
+        self.assertEqual(names(self.receiver), names(self.sender))
+
+    def test_missed_change_is_detected(self) -> None:
+        # Guards against a change that was lost and stays unknown, because later
+        # snapshots do not contain it.
+        self.sender.take_changes([row("s1", 2, phase="draining")], 2)
+        self.receiver.take_changes([], 2)
+        self.sender.take_changes([row("s2", 3, phase="draining")], 3)
+        self.send_snapshot()
+        self.assertTrue(self.receiver.is_behind(self.sender.standing))
+        self.assertEqual(self.receiver.delta_base_version, 0)
+        self.send_snapshot()
+        self.assertEqual(names(self.receiver), names(self.sender))
+
+    def test_receiver_with_lapsed_rows_gets_all(self) -> None:
+        self.receiver.mark_store_unreachable()
+        self.receiver.take_changes([ServerRow("s1", 2, None)], 2)
+        self.assertEqual(self.receiver.delta_base_version, 0)
 
     def test_any_changes_in_any_steps(self) -> None:
         for seed in range(60):
@@ -135,23 +137,24 @@
             else:
                 phase = rng.choice(("ready", "draining"))
                 change = row(name, version, phase=phase)
-            self.told.take_changes([change], version)
+            self.sender.take_changes([change], version)
             if rng.random() < 0.3:
-                self.pass_on()
-        self.pass_on()
-        self.assertEqual(names(self.behind), names(self.told))
+                self.send_snapshot()
+        self.send_snapshot()
+        self.assertEqual(names(self.receiver), names(self.sender))
         self.assertEqual(
-            self.behind.standing.servers_digest,
-            self.told.standing.servers_digest,
+            self.receiver.standing.servers_digest,
+            self.sender.standing.servers_digest,
         )
 
 
 class CellsOfThousandsTest(unittest.TestCase):
-    """Cells are found without ranking all of them for each server."""
+    """Cells are found without ranking all cells for each server."""
 
     def test_hashes_grow_with_the_servers(self) -> None:
-        # Guards against the square of the servers: with thousands each change
-        # of one took half a second of every instance's processor.
+        # Guards against work that is quadratic in the number of servers: with
+        # thousands, each change of one took half a second of processor time on
+        # every instance.
         with unittest.mock.patch.object(
             cells, "_jump", side_effect=cells._jump
         ) as jump:
@@ -161,7 +164,7 @@
         self.assertEqual(sum(sizes), SERVERS)
         self.assertLessEqual(max(sizes) - min(sizes), 2)
 
-    def test_few_move_when_one_comes(self) -> None:
+    def test_added_server_moves_few(self) -> None:
         before = [f"n{number:04}" for number in range(SERVERS)]
         old = {x: cells.number_of(x, before) for x in before}
         after = [*before, "n9999"]
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""What one instance fetches of another's knowledge."""
+"""Tests of the snapshots that instances fetch from each other."""
 
 import types
 import unittest
@@ -6,10 +6,10 @@
 import msgspec
 
 from jasminerelay.peerlink import (
-    KNOWN_FIELD,
+    CONFIGURATION_FIELD,
     SNAPSHOT_PATH,
     SnapshotApp,
-    unpacked,
+    decompressed,
 )
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import ServerRow, Snapshot
@@ -20,16 +20,16 @@
 
 
 def registry() -> Registry:
-    """Returns what an instance among many knows."""
-    known = Registry(lambda data: types.SimpleNamespace(version=1), decode)
-    known.take_configuration(7, CONFIGURATION)
+    """Returns the registry of an instance in a large platform."""
+    registered = Registry(lambda data: types.SimpleNamespace(version=1), decode)
+    registered.take_configuration(7, CONFIGURATION)
     rows = [ServerRow(f"s{n}", 10 + n, b"pool:ready") for n in range(SERVERS)]
-    known.take_all(rows, 10 + SERVERS)
-    return known
+    registered.take_all(rows, 10 + SERVERS)
+    return registered
 
 
-async def fetch(known: Registry, query: str) -> bytes:
-    """Returns the body of an answer."""
+async def fetch(registered: Registry, query: str) -> bytes:
+    """Returns the body of the answer to a snapshot request."""
     sent = []
 
     async def send(message) -> None:
@@ -40,48 +40,57 @@
         "path": SNAPSHOT_PATH,
         "query_string": query.encode(),
     }
-    await SnapshotApp(known)(scope, None, send)
+    await SnapshotApp(registered)(scope, None, send)
     return b"".join(sent)
 
 
 class SnapshotTest(unittest.IsolatedAsyncioTestCase):
-    """An instance that is behind fetches from another."""
+    """An instance that is behind fetches a snapshot from another."""
 
     async def test_only_rows_have_changed(self) -> None:
-        # Guards against a whole configuration for each instance and each
-        # server that starts in a series.
-        body = await fetch(registry(), f"{KNOWN_FIELD}=7")
+        # Guards against sending the whole configuration to each instance for
+        # each server that starts in a rolling restart.
+        body = await fetch(registry(), f"{CONFIGURATION_FIELD}=7")
         self.assertLess(len(body), len(CONFIGURATION) / 10)
-        here = Registry(lambda data: types.SimpleNamespace(version=1), decode)
-        here.take_configuration(7, CONFIGURATION)
-        here.adopt(msgspec.msgpack.decode(body, type=Snapshot))
-        self.assertEqual(len(here.servers()), SERVERS)
-        self.assertEqual(here.standing.configuration_version, 7)
+        receiver = Registry(
+            lambda data: types.SimpleNamespace(version=1), decode
+        )
+        receiver.take_configuration(7, CONFIGURATION)
+        receiver.adopt(msgspec.msgpack.decode(body, type=Snapshot))
+        self.assertEqual(len(receiver.servers()), SERVERS)
+        self.assertEqual(receiver.standing.configuration_version, 7)
 
     async def test_configuration_has_changed(self) -> None:
-        for query in (f"{KNOWN_FIELD}=6", "", f"{KNOWN_FIELD}=x"):
+        for query in (
+            f"{CONFIGURATION_FIELD}=6",
+            "",
+            f"{CONFIGURATION_FIELD}=x",
+        ):
             body = await fetch(registry(), query)
-            here = Registry(
+            receiver = Registry(
                 lambda data: types.SimpleNamespace(version=1), decode
             )
-            snapshot = unpacked(msgspec.msgpack.decode(body, type=Snapshot))
+            snapshot = decompressed(msgspec.msgpack.decode(body, type=Snapshot))
             self.assertEqual(snapshot.configuration, CONFIGURATION)
-            here.adopt(snapshot)
-            self.assertEqual(here.standing.configuration_version, 7, query)
+            receiver.adopt(snapshot)
+            self.assertEqual(receiver.standing.configuration_version, 7, query)
 
     async def test_changes_in_series_fit_the_links(self) -> None:
-        # Guards against links full of configurations that change five times a
-        # second: instances took each other for dead, and owners changed.
+        # Guards against links saturated by configurations that change five
+        # times a second: live instances were considered failed, and the
+        # ownership of cells changed.
         routes = [
             {"name": f"r-{n}", "hostname": "a.example", "prefix": f"/p{n}/"}
             for n in range(500)
         ]
         data = msgspec.json.encode({"version": 7, "routes": routes})
-        known = Registry(lambda data: types.SimpleNamespace(version=1), decode)
-        known.take_configuration(7, data)
-        body = await fetch(known, "")
+        registered = Registry(
+            lambda data: types.SimpleNamespace(version=1), decode
+        )
+        registered.take_configuration(7, data)
+        body = await fetch(registered, "")
         self.assertLess(len(body), len(data) / 4)
-        snapshot = unpacked(msgspec.msgpack.decode(body, type=Snapshot))
+        snapshot = decompressed(msgspec.msgpack.decode(body, type=Snapshot))
         self.assertEqual(snapshot.configuration, data)
 
 
