--- a/tests/instanceworld.py
+++ b/tests/instanceworld.py
@@ -1,6 +1,6 @@
-"""Instances that die, start and are cut off, with words that get lost.
+"""Instances that fail, start and are partitioned, with lossy messages.
 
-No sockets: tasks of the programs run in virtual time.
+No sockets are used: the real tasks run in virtual time.
 """
 
 import abc
@@ -12,11 +12,11 @@
 
 from jasminerelay.schema.messages import Member
 
-SEES_DEATH_S = 1.5
-"""Time after which the others see that an instance has died."""
+FAILURE_DETECTION_S = 1.5
+"""Time until the others detect that an instance has failed."""
 
-VIEW_S = 0.1
-CUT_SHARE = 0.4
+VIEW_INTERVAL_S = 0.1
+PARTITION_SHARE = 0.4
 
 
 @dataclasses.dataclass(eq=False)
@@ -25,10 +25,10 @@
 
     Attributes:
         name: Its name.
-        watch: What the program has.
+        watch: The component under test.
         since: Time since which others can reach it.
         alive: Whether it runs.
-        cut: Side of a cut; 0 where there is none.
+        cut: Side of a partition; 0 where there is none.
     """
 
     name: str
@@ -41,15 +41,15 @@
     cut: int = 0
 
     def in_touch(self, now: float, in_touch_s: float) -> bool:
-        """Returns whether others have been able to reach it for so long."""
+        """Returns whether others could reach it for a given time."""
         return self.cut == 0 and now - self.since > in_touch_s
 
 
 class Quiet:
-    """Takes events and counts, and forgets them."""
+    """Accepts events and counts, and discards them."""
 
     def info(self, event: str, **fields: object) -> None:
-        """Takes an event."""
+        """Accepts an event."""
 
     trouble = info
 
@@ -58,18 +58,19 @@
 
 
 class InstanceWorld(abc.ABC):
-    """Base of worlds that play one seed."""
+    """Base class of simulations of one seed."""
 
     most_delay_s = 0.05
     fault_pauses_s = (0.3, 2.0)
 
     def __init__(self, seed: int, count: int, *, faults: bool):
-        """Makes a world without instances.
+        """Creates a simulation without instances.
 
         Args:
             seed: Seed of times and faults.
-            count: How many instances there are.
-            faults: Whether words get lost, and instances die and are cut off.
+            count: Number of instances.
+            faults: Whether messages are lost, and instances fail and are
+                partitioned.
         """
         self.rng = random.Random(seed)
         self.count = count
@@ -83,7 +84,7 @@
 
     @abc.abstractmethod
     def make(self, name: str) -> Any:
-        """Makes the program's part of a new instance."""
+        """Creates the component under test of a new instance."""
 
     @abc.abstractmethod
     async def live(self, node: Node) -> None:
@@ -91,11 +92,11 @@
 
     @property
     def alive(self) -> list[Node]:
-        """Instances that run."""
+        """Instances that are running."""
         return [node for node in self.nodes if node.alive]
 
     def number(self) -> int:
-        """Returns a number that nothing else has."""
+        """Returns a unique number."""
         self._numbers += 1
         return self._numbers
 
@@ -103,7 +104,7 @@
         """Starts an instance."""
         name = f"n{self.number():03d}"
         node = Node(name, self.make(name), anyio.current_time())
-        node.watch.send = lambda to, word: self._send(node, to, word)
+        node.watch.send = lambda to, message: self._send(node, to, message)
         self.nodes.append(node)
 
         async def live() -> None:
@@ -113,46 +114,49 @@
         self.group.start_soon(live)
 
     def end_node(self, node: Node) -> None:
-        """Kills an instance."""
+        """Stops an instance as if it had crashed."""
         node.alive = False
         self._died[node.name] = anyio.current_time()
         node.scope.cancel()
 
     def members(self, node: Node) -> list[Member]:
-        """Returns the instances that one takes for live: deaths show late."""
+        """Returns the instances that a node considers live.
+
+        Failed instances are included until their failure is detected.
+        """
         now = anyio.current_time()
-        seen = (round(now / VIEW_S), node.cut, len(self.nodes))
+        seen = (round(now / VIEW_INTERVAL_S), node.cut, len(self.nodes))
         if seen not in self._views:
             self._views = {
                 seen: [
                     Member(x.name, "", "", "", "", x.name, "alive", 0)
                     for x in self.nodes
                     if (x.alive and x.cut == node.cut)
-                    or self.dead_s(x) < SEES_DEATH_S
+                    or self.dead_s(x) < FAILURE_DETECTION_S
                 ]
             }
         return self._views[seen]
 
     def dead_s(self, node: Node) -> float:
-        """Returns how long an instance has been dead; infinity if it is not."""
+        """Returns the time since an instance failed; infinity if alive."""
         died = self._died.get(node.name)
         return float("inf") if died is None else anyio.current_time() - died
 
     async def disturb(self, until: float) -> None:
-        """Kills and cuts instances in series until a time."""
+        """Stops and partitions instances at random until a time."""
         while anyio.current_time() < until:
             await anyio.sleep(self.rng.uniform(*self.fault_pauses_s))
             await self.rng.choice((self._kill_some, self._kill, self._cut))()
 
     def kill_all(self) -> None:
-        """Kills all instances, and starts as many."""
+        """Stops all instances, and starts as many."""
         for node in self.alive:
             self.end_node(node)
         for _ in range(self.count):
             self.start_node()
 
     def victims(self) -> list[Node]:
-        """Returns the instances of which one is to be killed."""
+        """Returns the instances from which one to stop is chosen."""
         return self.alive
 
     async def _kill(self) -> None:
@@ -166,20 +170,22 @@
             self.start_node()
 
     async def _cut(self) -> None:
-        parted = [x for x in self.alive if self.rng.random() < CUT_SHARE]
-        for node in parted:
+        partitioned = [
+            x for x in self.alive if self.rng.random() < PARTITION_SHARE
+        ]
+        for node in partitioned:
             node.cut = 1
         await anyio.sleep(self.rng.uniform(0.5, 3.0))
-        for node in parted:
+        for node in partitioned:
             node.cut = 0
             node.since = anyio.current_time()
 
-    def _send(self, node: Node, to: Member, word: object) -> None:
+    def _send(self, node: Node, to: Member, message: object) -> None:
         if self.rng.random() >= self.loss:
-            self.group.start_soon(self._deliver, node, to.instance, word)
+            self.group.start_soon(self._deliver, node, to.instance, message)
 
-    async def _deliver(self, node: Node, name: str, word: object) -> None:
+    async def _deliver(self, node: Node, name: str, message: object) -> None:
         await anyio.sleep(self.rng.uniform(0.001, self.most_delay_s))
         target = next((x for x in self.nodes if x.name == name), None)
         if target is not None and target.alive and target.cut == node.cut:
-            target.watch.hear(word)
+            target.watch.hear(message)
--- a/tests/test_missingservers.py
+++ b/tests/test_missingservers.py
@@ -1,8 +1,9 @@
-"""Servers without a row, judged by several instances that hear of each other.
+"""Randomised model of servers without a row, judged by several instances.
 
-A small model, without network or clock: a store, servers that leave or whose
-rows lapse while the store is away, instances that are cut off from it, and
-words between the instances. Times and faults are drawn from a seed.
+The model has no network or clock: it consists of a store, servers that leave or
+whose rows lapse while the store is unreachable, instances that are cut off from
+the store, and messages between the instances. Times and faults are drawn from a
+seed.
 """
 
 import dataclasses
@@ -21,29 +22,29 @@
 SERVERS = 6
 
 LAPSE_S = 3.6
-"""Silence of a server after which its row goes."""
+"""Time without a renewal after which a server's row is removed."""
 
 BACK_S = 2.0
-"""Time in which a living server is back after the store's return."""
+"""Time within which a living server renews its row after the store's return."""
 
 NOTICE_S = 1.5
-"""Time in which an instance notices that its calls are not answered."""
+"""Time within which an instance notices that its calls are not answered."""
 
 RETRY_S = 1.0
-"""Time in which an instance that lost the store tries again."""
+"""Time within which an instance that lost the store retries."""
 
 FETCH_S = 0.3
-"""How long an instance is behind before it takes another one's list."""
+"""How long an instance is behind before it fetches another one's snapshot."""
 
-TOLD_S = 1.5
-"""Time in which a removal that one instance saw must hold for all."""
+FORWARDED_REMOVAL_S = 1.5
+"""Time within which a removal that one instance saw must apply on all."""
 
-ALONE_S = 3.5
-"""Time in which an instance that has the store knows by itself."""
+DIRECT_REMOVAL_S = 3.5
+"""Time within which an instance that reaches the store must know by itself."""
 
 
 class Store:
-    """Rows with a history; out of reach for all while it is down."""
+    """Rows with a history; unreachable for all instances while it is down."""
 
     def __init__(self) -> None:
         self.up = True
@@ -51,7 +52,7 @@
         self.history: list[ServerRow] = []
 
     def put(self, name: str, data: bytes | None) -> None:
-        """Writes a row, or drops it."""
+        """Writes a row, or removes it."""
         self.version += 1
         self.history.append(ServerRow(name, self.version, data))
 
@@ -61,41 +62,41 @@
 
 
 class Instance:
-    """One instance: what it knows, and how it stands with the store."""
+    """One instance: its registry, and whether it reaches the store."""
 
     def __init__(self, store: Store, rng: random.Random, now: float):
         self.registry = Registry(lambda data: None, decode)
         self.linked = True
         self.started = now
-        self._reach_since: float | None = None
+        self._reachable_since: float | None = None
         self._store = store
         self._rng = rng
         self._after = 0
         self._lost = False
-        self._due = 0.0
-        self._reached = False
+        self._notices_at = 0.0
+        self._reaches_store = False
         self._behind_since: float | None = None
 
     def step(self, now: float) -> None:
-        """Follows the store as far as it answers."""
-        reach = self._store.up and self.linked
-        if reach != self._reached:
-            self._reached = reach
-            self._reach_since = now if reach else None
-            delay = RETRY_S if reach else NOTICE_S
-            self._due = now + self._rng.uniform(0.0, delay)
-        if reach and (not self._lost or now >= self._due):
+        """Follows the store while it answers."""
+        reaches_store = self._store.up and self.linked
+        if reaches_store != self._reaches_store:
+            self._reaches_store = reaches_store
+            self._reachable_since = now if reaches_store else None
+            delay = RETRY_S if reaches_store else NOTICE_S
+            self._notices_at = now + self._rng.uniform(0.0, delay)
+        if reaches_store and (not self._lost or now >= self._notices_at):
             self._follow(now)
-        elif not reach and not self._lost and now >= self._due:
+        elif not reaches_store and not self._lost and now >= self._notices_at:
             self._lost = True
             self.registry.mark_store_unreachable()
         self.registry.expire(now)
 
-    def hear(self, other: "Instance", now: float) -> None:
-        """Takes a word of another instance."""
+    def process_message_from(self, other: "Instance", now: float) -> None:
+        """Processes a message from another instance."""
         standing = other.registry.standing
-        if standing.touch == Touch.LOST and not self._reached:
-            self._due = now
+        if standing.touch == Touch.LOST and not self._reaches_store:
+            self._notices_at = now
         if not self.registry.is_behind(standing):
             return
         if self._behind_since is None:
@@ -105,15 +106,15 @@
             self.registry.adopt(other.registry.export_snapshot())
 
     def uses(self, name: str) -> bool:
-        """Returns whether a server gets new work."""
+        """Returns whether a server receives new work."""
         servers = self.registry.servers_of("pool")
         return any(server.id == name for server in servers)
 
     def reached_s(self, since: float, now: float) -> float:
-        """Returns how long the store has been in reach since a moment."""
-        if self._reach_since is None:
+        """Returns how long the store has been reachable since a moment."""
+        if self._reachable_since is None:
             return 0.0
-        return now - max(since, self._reach_since)
+        return now - max(since, self._reachable_since)
 
     def _follow(self, now: float) -> None:
         self._lost = False
@@ -126,7 +127,13 @@
 
 @dataclasses.dataclass
 class Removal:
-    """A server that left, and how long someone has been able to tell."""
+    """A server that left.
+
+    Attributes:
+        name: The server.
+        at: When it left.
+        settled_s: How long some instance with a settled list has lacked it.
+    """
 
     name: str
     at: float
@@ -134,7 +141,7 @@
 
 
 class World:
-    """Plays one seed and checks every step."""
+    """Simulates one seed and checks every step."""
 
     def __init__(self, test: unittest.TestCase, seed: int):
         self._test = test
@@ -153,25 +160,25 @@
         self._next_cut = self._rng.uniform(5.0, 15.0)
         self._heal_at = 0.0
         self._next_restart = self._rng.uniform(5.0, 25.0)
-        self._lapsed = True
+        self._rows_lapsed = True
         for name in self._living:
             self._store.put(name, b"pool:ready")
 
     def run(self) -> None:
-        """Plays the whole time."""
+        """Simulates the whole time."""
         now = 0.0
         while now < LENGTH_S:
-            self._break(now)
+            self._inject_faults(now)
             for instance in self._instances:
                 instance.step(now)
-            self._talk(now)
+            self._exchange_messages(now)
             self._check_living(now)
             self._check_removed(now)
             now += STEP_S
 
-    def _break(self, now: float) -> None:
+    def _inject_faults(self, now: float) -> None:
         if self._store.up and now >= self._next_outage:
-            self._store.up, self._lapsed = False, False
+            self._store.up, self._rows_lapsed = False, False
             self._down_since = now
             self._up_at = now + self._rng.uniform(1.0, 8.0)
         if not self._store.up:
@@ -200,8 +207,8 @@
                 self._store.put(name, None)
 
     def _outage(self, now: float) -> None:
-        if not self._lapsed and now - self._down_since >= LAPSE_S:
-            self._lapsed = True
+        if not self._rows_lapsed and now - self._down_since >= LAPSE_S:
+            self._rows_lapsed = True
             for name in self._living:
                 if self._rng.random() < 0.6:
                     self._store.put(name, None)
@@ -211,15 +218,15 @@
             self._store.up = True
             self._next_outage = now + self._rng.uniform(10.0, 30.0)
 
-    def _talk(self, now: float) -> None:
+    def _exchange_messages(self, now: float) -> None:
         for instance in self._instances:
             for other in self._instances:
                 if other is not instance and self._rng.random() < 0.5:
-                    instance.hear(other, now)
+                    instance.process_message_from(other, now)
 
     def _check_living(self, now: float) -> None:
         for number, instance in enumerate(self._instances):
-            # A fresh one may not have heard of all yet.
+            # An instance that has just started may not know all servers yet.
             if now - instance.started < RETRY_S + BACK_S:
                 continue
             for name in self._living:
@@ -236,9 +243,11 @@
             else:
                 removal.settled_s = 0.0
             for number, instance in enumerate(self._instances):
-                told = removal.settled_s > TOLD_S
-                alone = instance.reached_s(removal.at, now) > ALONE_S
-                if not told and not alone:
+                by_forwarding = removal.settled_s > FORWARDED_REMOVAL_S
+                by_itself = (
+                    instance.reached_s(removal.at, now) > DIRECT_REMOVAL_S
+                )
+                if not by_forwarding and not by_itself:
                     continue
                 self._test.assertFalse(
                     instance.uses(removal.name),
@@ -247,7 +256,7 @@
                 )
 
     def _settled_without(self, name: str) -> bool:
-        """Returns whether someone can tell that a server is gone."""
+        """Returns whether some instance can decide that a server has left."""
         return any(
             instance.registry.standing.touch == Touch.SETTLED
             and not instance.uses(name)
@@ -256,15 +265,16 @@
 
 
 class MissingServersTest(unittest.TestCase):
-    """What all instances make of a server whose row is gone."""
+    """How all instances treat a server whose row is missing."""
 
     def test_living_stay_and_leaving_go(self) -> None:
-        # Callers' requests reach a server long after it left, or are refused
-        # since living servers were dropped. Both come of a missing row: it was
-        # removed, or it lapsed while the store was away from its server.
-        # Instances are cut off from the store in between and hear of missing
-        # rows from each other, so whoever cannot tell must not decide, and
-        # whoever can must be believed by all.
+        # Guards against requests that reach a server long after it left, and
+        # against requests that are refused because living servers were removed.
+        # Both come from a missing row: it was removed, or it lapsed while its
+        # server could not reach the store. Instances are cut off from the store
+        # at times and learn of missing rows from each other, so an instance
+        # that cannot tell the cases apart must not decide, and all must accept
+        # the decision of one that can.
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 World(self, seed).run()
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -1,4 +1,4 @@
-"""Servers' rows: incarnations under one name, and rows of other writers."""
+"""Servers' rows: incarnations with the same name, and rows of other writers."""
 
 import base64
 import time
@@ -49,18 +49,18 @@
 
 
 def row(version: int, name: str = "a", **fields) -> ServerRow:
-    """Returns a server's row; unnamed fields are as usual."""
+    """Returns a server's row; fields not given have their usual values."""
     data = msgspec.json.encode({**ENTRY, **fields})
     return ServerRow(name, version, data)
 
 
 def registry() -> Registry:
-    """Returns an empty registry that reads the platform's rows."""
+    """Returns an empty registry that decodes the platform's rows."""
     return Registry(documents.catalog, documents.server)
 
 
-class Notes(EventLog):
-    """A log that keeps what it is given."""
+class RecordingLog(EventLog):
+    """A log that records its lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
@@ -71,12 +71,12 @@
     trouble = info
 
 
-class Followed:
-    """A registry with its feed, and what the feed told."""
+class FollowedRegistry:
+    """A registry with its feed, and the servers that the feed reported."""
 
     def __init__(self) -> None:
         self.registry = registry()
-        self.log = Notes()
+        self.log = RecordingLog()
         self.counters = Counters(Statsd())
         self.feed = RegistryFeed(
             self.registry, "config", self.counters, self.log
@@ -87,81 +87,84 @@
         self.feed.on_gone = self.gone.append
 
     def take(self, *rows: ServerRow) -> None:
-        """Takes a page of changes."""
+        """Applies a page of changes."""
         self.feed.take_servers(Page(rows, max(item.version for item in rows)))
 
     def ids(self) -> list[str]:
-        """Returns the servers in use."""
+        """Returns the ids of the servers in use."""
         return [item.id for item in self.registry.servers_of(POOL)]
 
 
 class IncarnationTest(unittest.TestCase):
-    """A server that starts again under the name that it had."""
+    """A server that restarts under its former name."""
 
     def setUp(self) -> None:
-        self.followed = Followed()
-
-    def test_knows_nothing_of_before(self) -> None:
-        # A server crashes with work under way, failures counted and a prompt
-        # cached, and is back under its name within a second. Taken for the
-        # one before, it would rest for its failures, look full, and be sent
-        # prompts for a cache that is gone.
-        desk = dispatcher(1)
-        desk._registry = self.followed.registry
-        self.followed.feed.on_gone = desk.gone
+        self.followed = FollowedRegistry()
+
+    def test_restarted_server_has_no_former_state(self) -> None:
+        # Guards against state of a former incarnation. A server crashes with
+        # requests in flight, failures counted and a prompt cached, and restarts
+        # under its name within a second. If it were taken for its predecessor,
+        # it would be avoided for its failures, look full, and receive prompts
+        # for a cache that no longer exists.
+        router_dispatcher = dispatcher(1)
+        router_dispatcher._registry = self.followed.registry
+        self.followed.feed.on_gone = router_dispatcher.gone
         self.followed.take(row(1))
         (before,) = self.followed.registry.servers_of(POOL)
-        desk.workload.start(before.id, unread=9000, memory=9000)
-        desk.health(POOL).failed(before.id, time.monotonic())
-        desk.paces.observe(before.id, 5, 1.0, time.monotonic())
+        router_dispatcher.workload.start(before.id, unread=9000, memory=9000)
+        router_dispatcher.health(POOL).failed(before.id, time.monotonic())
+        router_dispatcher.paces.observe(before.id, 5, 1.0, time.monotonic())
         self.followed.take(row(2, born=START + 900))
         (after,) = self.followed.registry.servers_of(POOL)
         now = time.monotonic()
         self.assertNotEqual(before.id, after.id)
-        self.assertEqual(desk.workload.load(after.id).running, 0)
-        self.assertFalse(desk.health(POOL).blocked(after.id, now))
-        self.assertIsNone(desk.paces.token_s(after.id, now))
+        self.assertEqual(router_dispatcher.workload.load(after.id).running, 0)
+        self.assertFalse(router_dispatcher.health(POOL).blocked(after.id, now))
+        self.assertIsNone(router_dispatcher.paces.token_s(after.id, now))
         self.assertEqual(self.followed.gone, [])
         self.assertEqual(self.followed.left, [before.id])
 
-    def test_words_on_the_former_one_count_no_more(self) -> None:
-        # Another instance has not heard of the restart yet and tells of its
-        # runs at the former incarnation.
-        desk = dispatcher(1)
+    def test_load_reports_on_the_former_incarnation_are_ignored(self) -> None:
+        # Another instance has not learned of the restart yet and reports its
+        # in-flight requests at the former incarnation.
+        router_dispatcher = dispatcher(1)
         self.followed.take(row(1), row(2, born=START + 900))
         (server,) = self.followed.registry.servers_of(POOL)
         load = ServerLoad(f"a@{START}", 9000, 30, 90_000)
-        desk.hear_loads("other", 1, [load], time.monotonic())
-        self.assertEqual(desk.workload.load(server.id).running, 0)
+        router_dispatcher.hear_loads("other", 1, [load], time.monotonic())
+        self.assertEqual(router_dispatcher.workload.load(server.id).running, 0)
 
-    def test_late_word_of_the_former_one(self) -> None:
-        # The former incarnation's last write, that it drains, takes effect
-        # after the new one's first. The new one stays in use.
+    def test_late_row_of_the_former_incarnation(self) -> None:
+        # The former incarnation's last write, which says that it is draining,
+        # takes effect after the new one's first. The new incarnation stays in
+        # use.
         self.followed.take(row(1))
         self.followed.take(row(2, born=START + 900))
         self.followed.take(row(3, phase="draining"))
         self.assertEqual(self.followed.ids(), [f"a@{START + 900}"])
 
     def test_clock_that_stepped_back(self) -> None:
-        # The server's clock was set back between two starts, so the later
-        # one has the smaller time. The store's order tells which is later.
+        # The server's clock was set back between two starts, so the later start
+        # has the earlier time. The store's order decides which is later.
         self.followed.take(row(1))
         self.followed.take(row(2, born=START - 60_000))
         self.assertEqual(self.followed.ids(), [f"a@{START - 60_000}"])
         self.followed.take(row(3))
         self.assertEqual(self.followed.ids(), [f"a@{START - 60_000}"])
 
-    def test_twice_in_a_second(self) -> None:
+    def test_two_restarts_in_a_second(self) -> None:
         self.followed.take(
             row(1), row(2, born=START + 300), row(3, born=START + 600)
         )
         self.assertEqual(self.followed.ids(), [f"a@{START + 600}"])
         self.assertEqual(self.followed.left, [f"a@{START}", f"a@{START + 300}"])
 
-    def test_restart_in_an_outage(self) -> None:
-        # The store is away; the row of a server that crashes lapses, and the
-        # server stays in use as one that may live. After the store's return
-        # its new incarnation's row comes: nothing of the former one is left.
+    def test_restart_during_an_outage(self) -> None:
+        # The store is unreachable; the row of a server that crashes lapses, and
+        # the server stays in use since it may be alive. After the store's
+        # return the row of its new incarnation arrives, and nothing of the
+        # former one remains.
         known = self.followed.registry
         self.followed.take(row(1))
         known.mark_store_unreachable()
@@ -172,9 +175,9 @@
         self.assertEqual(known.expire(100.0), [])
         self.assertEqual(self.followed.ids(), [f"a@{START + 4000}"])
 
-    def test_other_instances_word(self) -> None:
-        # An instance that the store turns away hears of the restart from
-        # another one; an older snapshot does not bring the former one back.
+    def test_restart_learned_from_another_instance(self) -> None:
+        # An instance that the store rejects learns of the restart from another
+        # one; an older snapshot does not restore the former incarnation.
         here, there = registry(), registry()
         for known in (here, there):
             known.take_changes([row(1)], 1)
@@ -185,8 +188,8 @@
         (server,) = here.servers_of(POOL)
         self.assertEqual(server.id, f"a@{START + 900}")
 
-    def test_back_with_the_same_start(self) -> None:
-        # The row lapsed though the server lived on, and it is back.
+    def test_returns_with_the_same_start(self) -> None:
+        # The row lapsed although the server stayed alive, and is written again.
         self.followed.take(row(1))
         self.followed.take(ServerRow("a", 2, None))
         self.assertEqual(self.followed.ids(), [])
@@ -194,8 +197,8 @@
         self.assertEqual(self.followed.ids(), [f"a@{START}"])
 
     def test_found_by_its_id(self) -> None:
-        # Guards against places at a restarted server that an owner gives and
-        # the asking instance takes for stale, and ends of it that go unseen.
+        # Guards against placements at a restarted server that the requesting
+        # instance rejects as stale, and against server ends that go unnoticed.
         known = registry()
         known.take_changes([row(1)], 1)
         (server,) = known.servers_of(POOL)
@@ -203,16 +206,16 @@
         self.assertIsNone(known.server(f"a@{START + 900}"))
         self.assertIsNone(known.server("b"))
 
-    def test_name_on_the_wire(self) -> None:
+    def test_id_contains_name_and_start(self) -> None:
         server = documents.server("a", msgspec.json.encode(ENTRY))
         self.assertEqual((server.name, server.id), ("a", f"a@{START}"))
 
 
 class ForeignRowTest(unittest.TestCase):
-    """Rows that another writer has put where the servers' rows are."""
+    """Rows that another writer has put into the table of servers."""
 
     def setUp(self) -> None:
-        self.followed = Followed()
+        self.followed = FollowedRegistry()
         self.followed.take(row(1))
 
     def unreadable(self) -> int:
@@ -221,13 +224,13 @@
         )
 
     def test_each_field_missing_or_of_another_type(self) -> None:
-        others = ("", [], {}, None, True, 1.5, "7", -1)
+        other_values = ("", [], {}, None, True, 1.5, "7", -1)
         for number, name in enumerate(ENTRY):
-            lacking = {k: v for k, v in ENTRY.items() if k != name}
-            rows = [msgspec.json.encode(lacking)]
+            without_field = {k: v for k, v in ENTRY.items() if k != name}
+            rows = [msgspec.json.encode(without_field)]
             rows += [
                 msgspec.json.encode({**ENTRY, name: value})
-                for value in others
+                for value in other_values
                 if type(value) is not type(ENTRY[name])
                 and not (name == "coldRemainingMs" and value == 1.5)
             ]
@@ -240,9 +243,9 @@
                 ):
                     documents.server(f"f{number}", data)
 
-    def test_names_no_server(self) -> None:
-        # A state that is not known, bytes that are no document, an address
-        # that is none. Each is noted once, and the others hold.
+    def test_unreadable_rows_name_no_server(self) -> None:
+        # An unknown phase, bytes that are not a document, an invalid address.
+        # Each is logged once, and the other rows apply.
         self.followed.take(
             row(2, "b", phase="resting"),
             row(3, "c", address="somewhere"),
@@ -255,9 +258,9 @@
         self.assertEqual(self.unreadable(), 6)
 
     def test_overwritten_row_of_a_living_server(self) -> None:
-        # Someone overwrites a living server's row. It gets no new requests,
-        # but its streams are not moved away and its cache is not forgotten;
-        # with its next row it is back as the one it was.
+        # Another writer overwrites a living server's row. The server gets no
+        # new requests, but its streams are not moved and its cache records are
+        # kept. With its next row it is in use again as the same incarnation.
         self.followed.take(ServerRow("a", 2, b"nonsense"))
         self.assertEqual(self.followed.ids(), [])
         self.assertEqual((self.followed.left, self.followed.gone), ([], []))
@@ -265,7 +268,7 @@
         self.assertEqual(self.followed.ids(), [f"a@{START}"])
         self.assertEqual(self.followed.gone, [])
 
-    def test_same_row_read_again_is_noted_once(self) -> None:
+    def test_same_row_read_again_is_logged_once(self) -> None:
         bad = [ServerRow(name, 2, b"nonsense") for name in "ab"]
         for _ in range(3):
             self.followed.feed.take_all_servers(Page(tuple(bad), 2))
@@ -273,19 +276,21 @@
         self.followed.take(ServerRow("b", 3, b"other nonsense"))
         self.assertEqual(self.unreadable(), 3)
 
-    def test_data_that_is_no_base64(self) -> None:
-        # One bad row must not hide the others of its page.
-        raw = storeclient._Row(key="b", version=2, data="***")
+    def test_data_that_is_not_base64(self) -> None:
+        # One malformed row must not hide the other rows of its page.
+        malformed_row = storeclient._Row(key="b", version=2, data="***")
         good = base64.b64encode(msgspec.json.encode(ENTRY)).decode()
-        fine = storeclient._Row(key="c", version=3, data=good)
-        self.followed.take(storeclient._row(raw), storeclient._row(fine))
+        well_formed = storeclient._Row(key="c", version=3, data=good)
+        self.followed.take(
+            storeclient._row(malformed_row), storeclient._row(well_formed)
+        )
         self.assertEqual(len(self.followed.ids()), 2)
         self.assertEqual(self.unreadable(), 1)
 
     @FUZZ
     @given(key=strategies.text(max_size=30), data=strategies.binary())
     def test_any_bytes(self, key: str, data: bytes) -> None:
-        followed = Followed()
+        followed = FollowedRegistry()
         followed.take(row(1))
         followed.take(ServerRow(key + "x", 2, data))
         self.assertIn(f"a@{START}", followed.ids())
@@ -312,7 +317,7 @@
 
     @FUZZ
     @given(strategies.binary())
-    def test_words_of_instances(self, data: bytes) -> None:
+    def test_messages_of_instances(self, data: bytes) -> None:
         try:
             peerwords.decode(data)
         except ValueError as exc:
@@ -335,10 +340,10 @@
         self.assertEqual(len(known.servers_of(POOL)), 1)
 
 
-class NewsTest(unittest.TestCase):
-    """What is told of a changed row."""
+class ServerChangeTest(unittest.TestCase):
+    """What is reported about a changed row."""
 
-    def test_ended(self) -> None:
+    def test_ended_incarnation(self) -> None:
         known = registry()
         (first,) = known.take_changes([row(1)], 1)
         self.assertIsNone(first.ended)
@@ -347,11 +352,12 @@
         self.assertIsInstance(again, ServerChange)
         self.assertEqual(known.take_changes([row(3, born=START + 1)], 3), [])
 
-    def test_dropped_after_an_outage(self) -> None:
-        # A caller's stream is cut when its server ends, though it could have
-        # gone on elsewhere. The server left without a word during an outage;
-        # its instance dropped it afterwards and forgot to move the stream.
-        followed = Followed()
+    def test_removed_after_an_outage(self) -> None:
+        # Guards against a stream that is cut when its server ends, although it
+        # could have continued on another server. The server left without
+        # announcing it during an outage, and its instance removed it afterwards
+        # without moving the stream.
+        followed = FollowedRegistry()
         followed.take(row(1))
         followed.registry.mark_store_unreachable()
         followed.take(ServerRow("a", 2, None))
@@ -361,10 +367,11 @@
         self.assertEqual(followed.gone, [f"a@{START}"])
 
     def test_kept_without_a_row(self) -> None:
-        # A request reaches a server whose row is gone. On-call engineers must
-        # see from the lines when the instance knew of it, by whom, and that
-        # it kept the server; without a line that looked like never heard.
-        followed = Followed()
+        # A request reaches a server whose row was removed. The log must show
+        # operators when the instance learned of the removal, from which source,
+        # and that it kept the server; without that line it looked as if the
+        # instance had never been notified.
+        followed = FollowedRegistry()
         followed.take(row(1))
         followed.registry.mark_store_unreachable()
         for version in (2, 3):
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -1,4 +1,4 @@
-"""A store that says nothing and closes nothing, as instances see it."""
+"""An unresponsive store that closes no connection, as instances see it."""
 
 import unittest
 import unittest.mock
@@ -21,19 +21,20 @@
 """A route that an operator adds."""
 
 
-TAKEN_S = 1.0
-"""Time in which a waiting call brings a change, also on a busy machine."""
+CHANGE_TIMEOUT_S = 1.0
+"""Time within which a waiting call returns a change, also on a busy machine."""
 
 
-def silence(instance, name: str) -> Callable[[], None]:
+def leave_unanswered(instance, name: str) -> Callable[[], None]:
     """Leaves an instance's new calls unanswered.
 
     Args:
         instance: The instance.
-        name: A table of the store, or the other instances' snapshot.
+        name: A table of the store, or "snapshot" for the other instances'
+            snapshots.
 
     Returns:
-        Has them answered again.
+        A function that lets them be answered again.
     """
     call = instance.client.call
 
@@ -45,21 +46,21 @@
         await anyio.sleep(exchange.timeout_s)
         raise BrokenError("silent for too long")
 
-    def undo() -> None:
+    def restore() -> None:
         instance.client.call = call
 
     instance.client.call = silent
-    return undo
+    return restore
 
 
 class SilentStoreTest(PlatformCase):
-    """Waiting calls of the store that are never answered."""
+    """Waiting calls to the store that are never answered."""
 
-    async def fall_silent(self, site, instances) -> None:
-        """Lets the store fall silent, with the configurations' calls in it.
+    async def make_store_unresponsive(self, site, instances) -> None:
+        """Makes the store unresponsive while calls for the configuration wait.
 
-        The calls that wait already bring one more change; those that follow
-        it stay without an answer for good.
+        The calls that are already waiting return one more change; those that
+        follow it are never answered.
         """
         site.store.faults.hang = True
         site.configure()
@@ -67,34 +68,35 @@
             await self.until(lambda i=instance: i.version == site.version)
         await anyio.sleep(2 * GATHER_S)
 
-    async def silence_behind_a_change(self, site, instance) -> None:
-        """Lets a waiting call bring one more change, and silences the next.
+    async def leave_next_call_unanswered(self, site, instance) -> None:
+        """Returns one more change, and leaves the next call unanswered.
 
-        Where none waits just then, since an answer is in and the next call is
-        not out yet, the change does not come; then it is tried anew.
+        If no call is waiting at that moment, because an answer has arrived and
+        the next call is not sent yet, the change does not arrive; then it is
+        tried again.
         """
         while True:
-            undo = silence(instance, "op")
+            restore = leave_unanswered(instance, "op")
             site.configure()
-            with anyio.move_on_after(TAKEN_S):
+            with anyio.move_on_after(CHANGE_TIMEOUT_S):
                 await self.until(lambda: instance.version == site.version)
                 return
-            undo()
+            restore()
             await self.until(lambda: instance.version == site.version)
 
     async def test_change_after_the_outage(self) -> None:
-        # A caller of a route that the operator added after an outage is told
-        # "not found" for seconds, and others go by the routes of before it.
-        # The store fell silent just before all instances asked it for the
-        # next change, closed nothing, and came back. None of them called it
-        # otherwise, so all took the silence of that one call for "nothing has
-        # changed" until its own time was over, 11.5 s later. The store's
-        # count of calls without an answer and the time of the lines that
-        # tell its loss proved it.
+        # Guards against a stale configuration after an outage. A caller of a
+        # route that the operator added after an outage gets "not found" for
+        # seconds, and other requests follow the routes of before it. The store
+        # became unresponsive just before all instances called it for the next
+        # change, closed no connection, and returned. No instance called it
+        # otherwise, so all took that one unanswered call for "nothing has
+        # changed" until it timed out, 11.5 s later. The store's count of
+        # unanswered calls and the times of the log lines on its loss proved it.
         async with self.site(2) as (site, instances):
             await self.until(lambda: instances[0].peers_live == 2)
             await self.until(lambda: instances[1].peers_live == 2)
-            await self.fall_silent(site, instances)
+            await self.make_store_unresponsive(site, instances)
             site.store.faults.hang = False
             site.configure(added=[ADDED])
             for instance in instances:
@@ -102,15 +104,15 @@
                 answer = await self.ask(instance, "/added/x")
                 self.assertEqual(answer.status, 200)
 
-    async def test_not_found_in_a_silent_outage(self) -> None:
-        # A caller gets a final "not found" though a route may have been added
-        # since. Two instances wait for a store that is silent; no call of
-        # theirs has failed, so each believes that it has the store, and
-        # confirms to the other the version that both have.
+    async def test_not_found_while_the_store_is_unresponsive(self) -> None:
+        # Guards against a final "not found" although a route may have been
+        # added since. Two instances wait for an unresponsive store; no call of
+        # theirs has failed, so each considers the store reachable, and confirms
+        # to the other the version that both have.
         async with self.site(2) as (site, instances):
             await self.until(lambda: instances[0].peers_live == 2)
             await self.until(lambda: instances[1].peers_live == 2)
-            await self.fall_silent(site, instances)
+            await self.make_store_unresponsive(site, instances)
             await anyio.sleep(root.CURRENT_S)
             for instance in instances:
                 answer = await self.ask(instance, "/added/x")
@@ -118,14 +120,16 @@
                 answer = await self.ask(instance, "/confirm/x", key="new")
                 self.assertEqual(answer.status, 503)
 
-    async def test_servers_confirm_no_configuration(self) -> None:
-        # The same with one instance, whose calls for servers are answered
-        # while the one for the configuration is not. Servers come and go, and
-        # each time a caller of a route just added was told "not found" for a
-        # second and a half. News of servers says nothing of routes once the
-        # store's version has risen.
+    async def test_server_changes_do_not_confirm_the_configuration(
+        self,
+    ) -> None:
+        # The same with one instance, whose calls for servers are answered while
+        # the one for the configuration is not. Servers come and go, and each
+        # time a caller of a route just added got "not found" for a second and a
+        # half. Changes of servers say nothing about routes once the store's
+        # version has risen.
         async with self.site() as (site, (instance,)):
-            await self.silence_behind_a_change(site, instance)
+            await self.leave_next_call_unanswered(site, instance)
             for phase, count in (("draining", 1), ("ready", 2)) * 3:
                 await anyio.sleep(root.CURRENT_S / 4)
                 site.register("engine-1", MODEL, phase)
@@ -138,16 +142,16 @@
             self.assertEqual(answer.status, 503)
 
     @unittest.mock.patch.object(root, "CURRENT_S", float("inf"))
-    async def test_newer_version_on_its_way(self) -> None:
-        # A caller of a route just added reaches an instance that has heard of
-        # the new version and does not have it yet: its own call hangs, and
-        # the other instance's snapshot does not come. Its knowledge is young
-        # enough, and yet it knows that it is not the newest.
+    async def test_newer_version_not_yet_received(self) -> None:
+        # A caller of a route just added reaches an instance that knows of the
+        # new version but has not received it: its own call hangs, and the
+        # snapshot of the other instance does not arrive. Its data is young
+        # enough, yet it knows that a newer version exists.
         async with self.site(2) as (site, (first, second)):
             await self.until(lambda: first.peers_live == 2)
             await self.until(lambda: second.peers_live == 2)
-            silence(first, "snapshot")
-            await self.silence_behind_a_change(site, first)
+            leave_unanswered(first, "snapshot")
+            await self.leave_next_call_unanswered(site, first)
             site.configure(added=[ADDED])
             await self.until(lambda: second.version == site.version)
             await self.until(lambda: not first.current)
@@ -155,10 +159,10 @@
             self.assertEqual(answer.status, 503)
 
     async def test_configuration_that_cannot_be_read(self) -> None:
-        # The operator adds a route in a configuration that this program
-        # cannot read. It goes on with the former one, as it should, and knows
-        # that this is not the newest: "not found" would be final for callers
-        # of the route until somebody mends the program.
+        # The operator adds a route in a configuration that this program cannot
+        # decode. The program keeps using the former one, as it should, and
+        # knows that it is not the newest: "not found" would be final for
+        # callers of the route until the program is fixed.
         async with self.site() as (site, (instance,)):
             await self.until(lambda: instance.current)
             site.store.put("op", "config", {"version": "none"})
@@ -172,14 +176,15 @@
             answer = await self.ask(instance, "/added/x")
             self.assertEqual(answer.status, 200)
 
-    async def test_own_waiting_call_is_silent(self) -> None:
-        # One instance's calls of the store hang and none fails; the other is
-        # served. It must not wait for its own call to end: the other's word
-        # brings the change, and its age keeps final refusals true.
+    async def test_own_waiting_call_is_unanswered(self) -> None:
+        # One instance's calls to the store hang and none fails; the other
+        # instance is served. The first must not wait for its own call to end:
+        # the other's message brings the change, and the reported age keeps
+        # final refusals correct.
         async with self.site(2) as (site, (first, second)):
             await self.until(lambda: first.peers_live == 2)
             await self.until(lambda: second.peers_live == 2)
-            silence(first, "op")
+            leave_unanswered(first, "op")
             site.configure()
             await self.until(lambda: first.version == site.version)
             await anyio.sleep(2 * GATHER_S)
--- a/tests/test_staleversions.py
+++ b/tests/test_staleversions.py
@@ -1,7 +1,6 @@
-"""How long instances hold an old configuration, and refuse by it.
+"""Tests of how long instances use an old configuration and refuse by it.
 
-The programs' own followers, ages and judgements of others run in virtual time,
-see `versionworld`.
+The real followers, ages and reports run in virtual time, see `versionworld`.
 """
 
 import dataclasses
@@ -12,8 +11,8 @@
 from jasminerelay import followers, following
 from tests import virtualtime
 from tests.versionworld import (
-    OWN_S,
-    PROMISED_S,
+    MAX_CHANGE_DELAY_S,
+    MAX_DELAY_AFTER_RETURN_S,
     World,
     now,
 )
@@ -22,160 +21,164 @@
 
 
 class StaleVersionsTest(unittest.TestCase):
-    """How long an instance may hold an old configuration."""
+    """How long an instance may use an old configuration."""
 
-    def play(self, seeds, count: int) -> None:
-        """Plays seeds with so many instances."""
+    def simulate(self, seeds, count: int) -> None:
+        """Simulates seeds with a number of instances."""
         for seed in seeds:
             with self.subTest(seed=seed, count=count):
                 world = World(self, seed, count)
                 virtualtime.run(world.run, (following, followers))
 
     def test_few_instances(self) -> None:
-        # A caller is told "not found" for a route that the operator added, or
-        # is served by routes that the operator changed. The store falls
-        # silent with calls in it and closes nothing; ways to it close, zones
-        # part, the leading instance is replaced. Whoever the store answers
-        # must know a change in two seconds, by its own call or another's
-        # word, and nobody may refuse for good by what is older.
-        self.play(SEEDS, 6)
+        # Guards against callers that get "not found" for a route that the
+        # operator added, or are served by routes that the operator changed. The
+        # store becomes unresponsive with calls in flight and closes no
+        # connection; connections to it are cut, availability zones are
+        # partitioned, the leading instance is replaced. An instance that the
+        # store answers must have a change within two seconds, by its own call
+        # or through another instance, and no instance may refuse finally by
+        # older data.
+        self.simulate(SEEDS, 6)
 
     def test_many_instances(self) -> None:
-        # The same where three of each zone follow the store for the others.
-        # They may all hang in silent calls and still say that they have it.
-        self.play(SEEDS[:3], 30)
+        # The same where three instances of each zone follow the store for the
+        # others. All three may hang in unanswered calls and still report that
+        # they reach it.
+        self.simulate(SEEDS[:3], 30)
 
 
 class BoundTest(unittest.TestCase):
-    """The bound in each case that leaves an instance without news."""
+    """The bound in each case that leaves an instance without updates."""
 
-    def play(self, story, count: int = 6) -> None:
-        """Plays a story on which every step is checked as above."""
+    def simulate(self, scenario, count: int = 6) -> None:
+        """Runs a scenario, with the checks above at every step."""
         for seed in SEEDS[:3]:
             with self.subTest(seed=seed):
-                world = World(self, seed, count, story)
+                world = World(self, seed, count, scenario)
                 virtualtime.run(world.run, (following, followers))
 
-    def assert_known(self, world: World, nodes) -> None:
+    def assert_newest_configuration(self, world: World, nodes) -> None:
         """Asserts that instances have the newest configuration."""
         for node in nodes:
             self.assertEqual(node.version, world.store.configuration, node.name)
 
-    def cut(self, world: World, nodes) -> None:
-        """Lets instances' ways to the store fall silent."""
+    def disconnect(self, world: World, nodes) -> None:
+        """Makes the instances' connections to the store unresponsive."""
         for node in nodes:
-            world.silence(node)
+            world.leave_calls_unanswered(node)
             node.refused = False
             node.linked = False
 
-    def test_own_waiting_call_is_silent(self) -> None:
-        # One instance's calls hang and none of them fails at first; the
-        # store serves the others. Their word must bring it the change in the
-        # time that was promised.
-        async def story(world: World) -> None:
+    def test_own_waiting_call_is_unanswered(self) -> None:
+        # One instance's calls hang and none of them fails at first; the store
+        # serves the others. Their messages must bring it the change within the
+        # guaranteed time.
+        async def scenario(world: World) -> None:
             for node in list(world.nodes.values()):
-                self.cut(world, [node])
+                self.disconnect(world, [node])
                 world.store.configure()
-                await anyio.sleep(PROMISED_S)
-                self.assert_known(world, world.nodes.values())
+                await anyio.sleep(MAX_CHANGE_DELAY_S)
+                self.assert_newest_configuration(world, world.nodes.values())
                 node.linked, node.linked_since = True, now()
-                await anyio.sleep(OWN_S)
+                await anyio.sleep(MAX_DELAY_AFTER_RETURN_S)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_zone_is_cut_off(self) -> None:
-        # A zone hears nothing from the others, the leading instance among
-        # them, and its waiting calls hang. The store answers new calls, so it
-        # must know a change in time by them.
-        async def story(world: World) -> None:
+        # A zone receives nothing from the others, including the leading
+        # instance, and its waiting calls hang. The store answers new calls, so
+        # the zone must get a change in time through them.
+        async def scenario(world: World) -> None:
             leader = next(n for n in world.nodes.values() if n.followers.leads)
             zones = {n.member.zone for n in world.nodes.values()}
             zone = min(zones - {leader.member.zone})
             part = [n for n in world.nodes.values() if n.member.zone == zone]
             for node in part:
-                world.silence(node)
-                node.part, node.joined = 1, now()
+                world.leave_calls_unanswered(node)
+                node.part, node.joined_at = 1, now()
             world.store.configure()
-            await anyio.sleep(PROMISED_S)
-            self.assert_known(world, world.nodes.values())
+            await anyio.sleep(MAX_CHANGE_DELAY_S)
+            self.assert_newest_configuration(world, world.nodes.values())
 
-        self.play(story)
-        self.play(story, 30)
+        self.simulate(scenario)
+        self.simulate(scenario, 30)
 
     def test_zone_is_cut_off_from_all(self) -> None:
-        # The zone has neither the store nor the others. It cannot know the
-        # change; it must not refuse for good by what it knows.
-        async def story(world: World) -> None:
+        # The zone reaches neither the store nor the others. It cannot learn of
+        # the change, so it must not refuse finally by its data.
+        async def scenario(world: World) -> None:
             part = [n for n in world.nodes.values() if n.member.zone == "z1"]
-            self.cut(world, part)
+            self.disconnect(world, part)
             for node in part:
-                node.part, node.joined = 1, now()
-            await anyio.sleep(PROMISED_S)
+                node.part, node.joined_at = 1, now()
+            await anyio.sleep(MAX_CHANGE_DELAY_S)
             self.assertFalse(any(node.current for node in part))
             world.store.configure()
-            await anyio.sleep(PROMISED_S)
+            await anyio.sleep(MAX_CHANGE_DELAY_S)
             for node in part:
-                node.part, node.joined = 0, now()
+                node.part, node.joined_at = 0, now()
                 node.linked, node.linked_since = True, now()
-            await anyio.sleep(OWN_S)
-            self.assert_known(world, world.nodes.values())
+            await anyio.sleep(MAX_DELAY_AFTER_RETURN_S)
+            self.assert_newest_configuration(world, world.nodes.values())
             self.assertTrue(all(node.current for node in part))
 
-        self.play(story)
-        self.play(story, 30)
+        self.simulate(scenario)
+        self.simulate(scenario, 30)
 
-    def test_followers_hang_silently(self) -> None:
-        # The three that follow the store for a zone hang in silent calls and
-        # say that they have it, until one of their calls is given up. Those
-        # that they tell of changes must know this one in time.
-        async def story(world: World) -> None:
+    def test_followers_hang_in_unanswered_calls(self) -> None:
+        # The three followers of a zone hang in unanswered calls and report that
+        # they reach the store, until one of their calls is aborted. The
+        # instances to which they forward changes must get this one in time.
+        async def scenario(world: World) -> None:
             group = [n for n in world.nodes.values() if n.member.zone == "z1"]
             names = followers.followers_of_zone(
                 "z1", [node.name for node in group]
             )
-            self.cut(world, [world.nodes[name] for name in names])
+            self.disconnect(world, [world.nodes[name] for name in names])
             world.store.configure()
-            await anyio.sleep(PROMISED_S)
-            self.assert_known(world, world.nodes.values())
+            await anyio.sleep(MAX_CHANGE_DELAY_S)
+            self.assert_newest_configuration(world, world.nodes.values())
 
-        self.play(story, 30)
+        self.simulate(scenario, 30)
 
-    def test_starts_in_the_outage(self) -> None:
-        # An instance starts while the store is silent and takes the others'
-        # configuration. Like them it must not refuse for good by it, and
-        # must know the change that ends the outage in time.
-        async def story(world: World) -> None:
+    def test_starts_during_the_outage(self) -> None:
+        # An instance starts while the store is unresponsive and fetches the
+        # others' configuration. Like them it must not refuse finally by it, and
+        # must get the change that ends the outage in time.
+        async def scenario(world: World) -> None:
             for node in world.nodes.values():
-                world.silence(node)
+                world.leave_calls_unanswered(node)
             world.store.up = False
-            await anyio.sleep(PROMISED_S)
-            fresh = world.start("z1")
-            await anyio.sleep(PROMISED_S)
-            self.assertTrue(fresh.version)
-            self.assertFalse(fresh.current)
+            await anyio.sleep(MAX_CHANGE_DELAY_S)
+            started_node = world.start("z1")
+            await anyio.sleep(MAX_CHANGE_DELAY_S)
+            self.assertTrue(started_node.version)
+            self.assertFalse(started_node.current)
             world.store.up, world.store.up_since = True, now()
             world.store.configure()
-            await anyio.sleep(OWN_S)
-            self.assert_known(world, world.nodes.values())
-            self.assertTrue(fresh.current)
-
-        self.play(story)
-
-    def test_thaws_in_the_outage(self) -> None:
-        # An instance stands still while the store changes and falls silent.
-        # When it goes on it reads what the others sent at the beginning, all
-        # of it before it could ask anyone: none of that is proof.
-        async def story(world: World) -> None:
+            await anyio.sleep(MAX_DELAY_AFTER_RETURN_S)
+            self.assert_newest_configuration(world, world.nodes.values())
+            self.assertTrue(started_node.current)
+
+        self.simulate(scenario)
+
+    def test_resumes_during_the_outage(self) -> None:
+        # An instance is stalled while the store changes and becomes
+        # unresponsive. When it resumes it reads what the others sent at the
+        # beginning, all of it before it could ask any of them: none of that is
+        # a proof.
+        async def scenario(world: World) -> None:
             node = next(iter(world.nodes.values()))
             other = list(world.nodes.values())[-1]
             old = dataclasses.replace(other.registry.standing, age_ms=100)
-            self.cut(world, [node])
+            self.disconnect(world, [node])
             node.scope.cancel()
-            await anyio.sleep(PROMISED_S)
-            node.hear(other, old)
+            await anyio.sleep(MAX_CHANGE_DELAY_S)
+            node.process_message(other, old)
             self.assertFalse(node.current)
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -1,8 +1,8 @@
-"""A model of instances that share proofs of the configuration's version.
+"""Randomised model of instances that share proofs of the configuration.
 
-The programs' own followers, ages and judgements of others run in virtual time
-on a model of the store, of its connections and of the words between instances.
-Times and faults are drawn from a seed.
+The real followers, ages and reports run in virtual time on a model of the
+store, of its connections and of the messages between instances. Times and
+faults are drawn from a seed.
 """
 
 import dataclasses
@@ -40,20 +40,24 @@
 STEP_S = 0.05
 
 SETTLED_S = 3.0
-"""Time from the start until all know each other and the first version."""
+"""Time from the start until all instances know each other and the first
+version."""
 
-PROMISED_S = 2.0
-"""Time in which a change must be in force after the store has accepted it."""
+MAX_CHANGE_DELAY_S = 2.0
+"""Time within which a change must be in force after the store has accepted
+it."""
 
-OWN_S = 2.0
-"""The same after the store's return, or that of the connection to it."""
+MAX_DELAY_AFTER_RETURN_S = 2.0
+"""The same after the store, or the connection to it, becomes available
+again."""
 
 NOTICE_S = 2.0
-"""Time in which the others' failure, or their return, is known."""
+"""Time within which the failure or the return of other instances is
+detected."""
 
-ANSWER_S = 0.004
-WORD_S = 0.002
-LOST_SHARE = 0.01
+ANSWER_DELAY_S = 0.004
+MESSAGE_DELAY_S = 0.002
+LOSS_RATE = 0.01
 TABLES = ("op", "servers")
 
 
@@ -63,7 +67,7 @@
 
 
 class Store:
-    """Two tables with one version, and its moments of acceptance."""
+    """Two tables with one version, and the times of their changes."""
 
     def __init__(self) -> None:
         self.up = True
@@ -75,7 +79,7 @@
         self._changed = anyio.Event()
 
     def configure(self) -> None:
-        """Accepts the next configuration."""
+        """Accepts a new configuration."""
         self.configuration += 1
         self._put("op", "config", str(self.configuration).encode())
         self.accepted.append((now(), self.configuration))
@@ -110,8 +114,8 @@
 class Table:
     """An instance's calls on one table.
 
-    A call that is under way when the store or the connection falls silent
-    stays without an answer for good: only its own timeout ends it.
+    A call that is in flight when the store or the connection becomes
+    unresponsive is never answered: only its own timeout ends it.
     """
 
     def __init__(self, node: "Node", name: str):
@@ -123,16 +127,16 @@
         return await self.changes(0, 0.0)
 
     async def changes(self, after: int, wait_s: float) -> Page:
-        """Waits for a change, as long as the store answers."""
+        """Waits for a change, while the store answers."""
         node, store = self._node, self._node.world.store
         if not node.reaches_store and node.refused:
             raise StoreError("refused")
-        silent = node.silences
+        silent = node.unanswered_count
         with anyio.move_on_after(wait_s + CALL_TIMEOUT_S):
             if node.reaches_store:
-                await anyio.sleep(ANSWER_S)
+                await anyio.sleep(ANSWER_DELAY_S)
                 page = await store.changes(self._name, after, wait_s)
-                if silent == node.silences:
+                if silent == node.unanswered_count:
                     return page
             await anyio.sleep_forever()
         raise StoreError("silent")
@@ -142,24 +146,25 @@
     """One instance, without requests and sockets.
 
     Attributes:
-        silences: How often the store or the way to it has fallen silent.
-        linked: Whether the way to the store is open.
-        linked_since: When it was opened last.
-        refused: Whether the store refuses calls where it does not answer.
-        part: Part of the network; instances of other parts hear nothing.
-        joined: When it came to its part of the network.
+        silences: How often the store or the connection to it has become
+            unresponsive.
+        linked: Whether the connection to the store works.
+        linked_since: When it began to work.
+        refused: Whether the store rejects calls while it does not answer.
+        part: Side of a network partition; messages do not cross sides.
+        joined: When the instance came to its side.
     """
 
     def __init__(self, world: "World", member: Member):
         self.world = world
         self.member = member
         self.name = member.instance
-        self.silences = 0
+        self.unanswered_count = 0
         self.linked = True
         self.linked_since = now()
         self.refused = False
         self.part = 0
-        self.joined = now()
+        self.joined_at = now()
         self.scope = anyio.CancelScope()
         self.registry = Registry(
             lambda data: types.SimpleNamespace(version=int(data)), decode
@@ -169,9 +174,9 @@
         self.followers = Followers(member.instance, member.zone)
         log, counters = silent_log(), Counters(Statsd())
         self.state = StoreState(self.registry, self.freshness, log)
-        self.state.on_news = lambda: self.tell(self.followers.told())
+        self.state.on_news = lambda: self.send_standing(self.followers.told())
         self.feed = RegistryFeed(self.registry, "config", counters, log)
-        self.feed.on_changed = lambda: self.tell(self.followers.led())
+        self.feed.on_changed = lambda: self.send_standing(self.followers.led())
         leading = {"op": Manner(wait_s=LEAD_WAIT_S), "servers": Manner()}
         self._followers = {
             table: Follower(
@@ -192,23 +197,23 @@
         return self.linked and self.world.store.up
 
     @property
-    def able_since(self) -> float:
-        """From when on the store has answered it."""
+    def answered_since(self) -> float:
+        """Time since which the store has answered it."""
         return max(self.linked_since, self.world.store.up_since)
 
     @property
     def version(self) -> int:
-        """The configuration in force here."""
+        """The configuration in force on this instance."""
         return self.registry.catalog.version if self.registry.catalog else 0
 
     @property
     def current(self) -> bool:
-        """Whether it refuses for good what it does not know."""
+        """Whether the instance refuses unknown requests finally."""
         young = self.freshness.age_s(now()) <= CURRENT_S
         return young and not self.standings.knows_newer(now())
 
     async def run(self) -> None:
-        """Lives until its scope is cancelled."""
+        """Runs until its scope is cancelled."""
         with self.scope:
             async with anyio.create_task_group() as group:
                 feed = self.feed
@@ -224,8 +229,8 @@
                 )
                 group.start_soon(self._tick)
 
-    def tell(self, members: list[Member]) -> None:
-        """Sends the own standing to some instances."""
+    def send_standing(self, members: list[Member]) -> None:
+        """Sends the versions of the instance's data to others."""
         age_s = self.freshness.age_s(now())
         standing = dataclasses.replace(
             self.registry.standing,
@@ -234,8 +239,8 @@
         for member in members:
             self.world.send(self, member.instance, standing)
 
-    def hear(self, sender: "Node", standing) -> None:
-        """Takes a word."""
+    def process_message(self, sender: "Node", standing) -> None:
+        """Processes a message."""
         if self.standings.reports_store_loss(sender.name, standing):
             self.state.check()
         self.standings.hear(sender.name, standing, now(), now())
@@ -265,9 +270,9 @@
             self.state.renew_after(self.followers.patience_s(lags=lags))
             if rounds % 2 == 0 and len(live) > 1:
                 others = [item for item in live if item is not self.member]
-                self.tell([self.world.rng.choice(others)])
+                self.send_standing([self.world.rng.choice(others)])
             if rounds % 4 == 0:
-                self.tell(self.followers.led())
+                self.send_standing(self.followers.led())
             await self._catch_up()
 
     async def _catch_up(self) -> None:
@@ -275,41 +280,41 @@
         other = self.world.nodes.get(name or "")
         if other is None or other.part != self.part:
             return
-        await anyio.sleep(ANSWER_S)
+        await anyio.sleep(ANSWER_DELAY_S)
         self.registry.adopt(other.registry.export_snapshot())
 
 
 class World:
-    """Plays one seed and checks every step."""
+    """Simulates one seed and checks every step."""
 
     def __init__(
         self,
         test: unittest.TestCase,
         seed: int,
         count: int,
-        story: Callable[["World"], Awaitable[None]] | None = None,
+        scenario: Callable[["World"], Awaitable[None]] | None = None,
     ):
-        """Makes the world.
+        """Creates the world.
 
         Args:
-            test: Takes what is asserted.
+            test: Receives the assertions.
             seed: Seed of times and faults.
-            count: How many instances there are.
-            story: What happens, in place of drawn faults; the end of it is
-                the end of the world.
+            count: Number of instances.
+            scenario: Events instead of randomly drawn faults; the simulation
+                ends with it.
         """
         self._test = test
-        self._story = story
+        self._story = scenario
         self._count = count
         self.rng = random.Random(seed)
         self.shared = count >= 24
         self.store = Store()
         self.nodes: dict[str, Node] = {}
         self._group = None
-        self._lives = 0
+        self._started = 0
 
     async def run(self) -> None:
-        """Plays the whole time."""
+        """Simulates the whole time."""
         self.store.configure()
         async with anyio.create_task_group() as group:
             self._group = group
@@ -320,37 +325,37 @@
                 await anyio.sleep(SETTLED_S)
                 await self._story(self)
             else:
-                group.start_soon(self._operate)
-                group.start_soon(self._break)
+                group.start_soon(self._change_configuration)
+                group.start_soon(self._inject_faults)
                 await anyio.sleep(LENGTH_S)
             group.cancel_scope.cancel()
 
     def send(self, sender: Node, to: str, standing) -> None:
-        """Carries a word, if the way is open and it is not lost."""
-        self._group.start_soon(self._carry, sender, to, standing)
+        """Delivers a message, unless it is lost or a partition prevents it."""
+        self._group.start_soon(self._deliver, sender, to, standing)
 
     def seen_by(self, node: Node) -> list[Member]:
-        """Returns the instances that one takes for live; it learns late."""
+        """Returns the instances that a node considers live, with a delay."""
         return [
             other.member
             for other in self.nodes.values()
             if other is node
             or other.part == node.part
-            or now() - max(other.joined, node.joined) < NOTICE_S
+            or now() - max(other.joined_at, node.joined_at) < NOTICE_S
         ]
 
-    async def _carry(self, sender: Node, to: str, standing) -> None:
-        await anyio.sleep(WORD_S)
+    async def _deliver(self, sender: Node, to: str, standing) -> None:
+        await anyio.sleep(MESSAGE_DELAY_S)
         node = self.nodes.get(to)
         if node is None or node.part != sender.part:
             return
-        if self.rng.random() >= LOST_SHARE:
-            node.hear(sender, standing)
+        if self.rng.random() >= LOSS_RATE:
+            node.process_message(sender, standing)
 
     def start(self, zone: str) -> Node:
-        """Starts an instance that knows nothing."""
-        self._lives += 1
-        name = f"i{self._lives}"
+        """Starts an instance without data."""
+        self._started += 1
+        name = f"i{self._started}"
         node = Node(self, Member(name, "", zone, "", "", "", ALIVE, 1))
         self.nodes[name] = node
         self._group.start_soon(node.run)
@@ -362,7 +367,7 @@
             for node in self.nodes.values():
                 self._check(node)
 
-    async def _operate(self) -> None:
+    async def _change_configuration(self) -> None:
         while True:
             await anyio.sleep(self.rng.uniform(0.3, 5.0))
             if not self.store.up:
@@ -372,20 +377,25 @@
             else:
                 self.store.register(f"s{self.rng.randrange(4)}")
 
-    async def _break(self) -> None:
-        faults = (self._outage, self._cut_off, self._part, self._replace)
+    async def _inject_faults(self) -> None:
+        faults = (
+            self._outage,
+            self._cut_off,
+            self._partition_zone,
+            self._replace,
+        )
         while True:
             await anyio.sleep(self.rng.uniform(1.0, 6.0))
             await self.rng.choice(faults)()
 
     async def _outage(self) -> None:
-        """The store is silent, or refuses, and comes back."""
-        # Most calls after a change are sent in the same moment.
+        """Makes the store unresponsive or reject calls, and restores it."""
+        # Most calls after a change are sent at the same moment.
         if self.rng.random() < 0.5:
             self.store.configure()
             await anyio.sleep(self.rng.uniform(0.0, 0.5))
         for node in self.nodes.values():
-            self.silence(node)
+            self.leave_calls_unanswered(node)
         self.store.up = False
         await anyio.sleep(self.rng.uniform(0.5, 7.0))
         self.store.up = True
@@ -393,7 +403,7 @@
         self.store.configure()
 
     async def _cut_off(self) -> None:
-        """The ways of some to the store close: mostly of those who follow."""
+        """Cuts some instances off from the store, mostly followers."""
         zone = f"z{self.rng.randrange(3)}"
         group = [n for n in self.nodes.values() if n.member.zone == zone]
         chosen = followers.followers_of_zone(
@@ -403,68 +413,72 @@
             chosen = self.rng.sample(list(self.nodes), 2)
         cut = [self.nodes[name] for name in chosen]
         for node in cut:
-            self.silence(node)
+            self.leave_calls_unanswered(node)
             node.linked = False
         await anyio.sleep(self.rng.uniform(2.0, 9.0))
         for node in cut:
             node.linked = True
             node.linked_since = now()
 
-    async def _part(self) -> None:
-        """A zone is cut from the others, half of the times from the store."""
+    async def _partition_zone(self) -> None:
+        """Partitions a zone, half of the time also from the store."""
         zone = f"z{self.rng.randrange(3)}"
         group = [n for n in self.nodes.values() if n.member.zone == zone]
         store_too = self.rng.random() < 0.5
         for node in group:
-            node.part, node.joined = 1, now()
+            node.part, node.joined_at = 1, now()
             if store_too:
-                self.silence(node)
+                self.leave_calls_unanswered(node)
                 node.linked = False
         await anyio.sleep(self.rng.uniform(2.0, 9.0))
         for node in group:
-            node.part, node.joined = 0, now()
+            node.part, node.joined_at = 0, now()
             if store_too:
                 node.linked, node.linked_since = True, now()
 
     async def _replace(self) -> None:
-        """An instance ends and another one starts: often the leading one."""
+        """Stops an instance and starts another, often the leading one."""
         names = list(self.nodes)
-        lead = [n.name for n in self.nodes.values() if n.followers.leads]
-        name = self.rng.choice(lead or names)
+        leaders = [n.name for n in self.nodes.values() if n.followers.leads]
+        name = self.rng.choice(leaders or names)
         node = self.nodes.pop(name)
         node.scope.cancel()
         await anyio.sleep(self.rng.uniform(0.1, 1.0))
         self.start(node.member.zone)
 
-    def silence(self, node: Node) -> None:
-        """Leaves an instance's calls under way without an answer for good."""
-        node.silences += 1
+    def leave_calls_unanswered(self, node: Node) -> None:
+        """Leaves an instance's calls in flight unanswered for good."""
+        node.unanswered_count += 1
         node.refused = self.rng.random() < 0.3
 
     def _check(self, node: Node) -> None:
-        able = node.reaches_store and now() - node.able_since > OWN_S
-        due = self._due(now() - PROMISED_S)
-        if able:
+        is_answered = (
+            node.reaches_store
+            and now() - node.answered_since > MAX_DELAY_AFTER_RETURN_S
+        )
+        expected = self._newest_at(now() - MAX_CHANGE_DELAY_S)
+        if is_answered:
             self._test.assertGreaterEqual(
                 node.version,
-                due,
-                f"at {now():.2f} s {node.name} is behind the store",
+                expected,
+                f"at {now():.2f} s {node.name} lags behind the store",
             )
-            # Else unknown routes would get 503 for good. One that has heard
-            # of a newer version says 503 until that is here, as checked above.
+            # Otherwise unknown routes would get 503 for good. An instance that
+            # knows of a newer version answers 503 until that arrives, as
+            # checked above.
             self._test.assertLessEqual(
                 node.freshness.age_s(now()),
                 CURRENT_S,
-                f"at {now():.2f} s {node.name} has no proof of what it knows",
+                f"at {now():.2f} s {node.name} has no proof of its data's age",
             )
         if node.current:
             self._test.assertGreaterEqual(
                 node.version,
-                due,
-                f"at {now():.2f} s {node.name} refuses for good by an old"
+                expected,
+                f"at {now():.2f} s {node.name} refuses finally by an old"
                 " version",
             )
 
-    def _due(self, at: float) -> int:
-        """Returns the configuration that was the newest at a moment."""
+    def _newest_at(self, at: float) -> int:
+        """Returns the configuration that was the newest at a time."""
         return max((v for t, v in self.store.accepted if t <= at), default=0)
