--- a/src/jasminerelay/followers.py
+++ b/src/jasminerelay/followers.py
@@ -3,8 +3,8 @@
 This module does no I/O except for reading the clock. The leader, the first
 instance in an order on which all agree, has the store confirm every second that
 nothing is newer than its own data and notifies the others, so their data is as
-young as its own. An instance whose data grows too old all the same asks the
-store itself.
+recent as its own. An instance whose data still becomes too old asks the store
+itself.
 
 In a small platform all instances follow the store. In a large one three
 instances of each availability zone do, and forward changes to the others of
@@ -27,10 +27,10 @@
 follows the store closely itself. They send every 0.4 s, and a leaving server
 must be known within two seconds."""
 
-PROOF_SENDERS = 3
-"""Instances that send the store's proofs to the others: the leader and those
-next in the order, which step in for it. More senders would repeat the same
-messages."""
+CONFIRMATION_SENDERS = 3
+"""Instances that send the store's confirmations to the others: the leader and
+those next in the order, which step in for it. More senders would repeat the
+same messages."""
 
 LEADER_POLL_AGE_S = 1.3
 """Age of the data above which the leader aborts its waiting calls. A call that
@@ -140,8 +140,8 @@
         return time.monotonic() - self._last_message_at > LED_S
 
     def told(self) -> list[Member]:
-        """Returns the instances to which this one sends the store's proofs."""
-        if self._position >= PROOF_SENDERS:
+        """Returns the instances to which this one sends confirmations."""
+        if self._position >= CONFIRMATION_SENDERS:
             return []
         if not self._shared:
             return self._others
--- a/src/jasminerelay/following.py
+++ b/src/jasminerelay/following.py
@@ -17,14 +17,15 @@
 from jasminerelay.registry import Registry, ServerChange
 from jasminerelay.schema.messages import ServerRow
 
-WAIT_S = 25.0
+LONG_POLL_S = 25.0
 """How long the store holds a call until there is a change; it allows half a
 minute at most. Longer waits save calls. A call without an answer does not prove
 that nothing has changed; the age of the data decides when to ask again."""
 
 LEAD_WAIT_S = 0.9
-"""The wait of the leading instance, which confirms the data for all: its calls
-return often, with or without rows, and each answer is a proof."""
+"""The wait of the leading instance, which has the store confirm the data for
+all: its calls return often, with or without rows, and each answer is a
+confirmation."""
 
 MIN_ABORT_INTERVAL_S = 0.5
 """Minimum time between two rounds in which waiting calls are aborted."""
@@ -34,7 +35,7 @@
 """Pause after a failed call, randomised so that the instances do not retry at
 the same moment. A change must be in force within two seconds."""
 
-GATHER_S = 0.4
+BATCH_PAUSE_S = 0.4
 """Pause after a change before the next call. Servers that start together or are
 replaced change in series, and one call then returns several rows. The pause
 delays the news of a leaving server, which must be known within two seconds."""
@@ -205,8 +206,8 @@
         gather_s: Pause after a change before the next call.
     """
 
-    wait_s: float = WAIT_S
-    gather_s: float = dataclasses.field(default_factory=lambda: GATHER_S)
+    wait_s: float = LONG_POLL_S
+    gather_s: float = dataclasses.field(default_factory=lambda: BATCH_PAUSE_S)
 
 
 class Follower:
@@ -322,7 +323,7 @@
             left_s = began + self._mode().gather_s - time.monotonic()
             if left_s <= 0:
                 break
-            with anyio.move_on_after(min(left_s, GATHER_S)):
+            with anyio.move_on_after(min(left_s, BATCH_PAUSE_S)):
                 await abort_waits.wait()
         return abort_waits.is_set()
 
--- a/src/jasminerelay/freshness.py
+++ b/src/jasminerelay/freshness.py
@@ -71,7 +71,7 @@
         return len(versions) > 1
 
     def age_s(self, now: float) -> float:
-        """Returns the age of the data; infinite before the first proof."""
+        """Returns the age of the data; infinite before any confirmation."""
         return now - self._complete_at
 
     def answered(self, table: str, version: int, at: float) -> bool:
--- a/src/jasminerelay/membership.py
+++ b/src/jasminerelay/membership.py
@@ -120,7 +120,7 @@
         return self._notices.get(server)
 
     def leaving_servers(self) -> set[str]:
-        """Returns the backend servers for which a notice says leaving."""
+        """Returns the backend servers that are marked as leaving."""
         return {
             notice.server for notice in self._notices.values() if notice.leaving
         }
@@ -195,7 +195,7 @@
         return sends
 
     def push(self, fanout: int = FANOUT) -> list[Send]:
-        """Sends to a few instances at once, for news that must not wait."""
+        """Sends to a few instances at once, for changes that must not wait."""
         names = [peer.member.instance for peer in self._peers.values()]
         chosen = self._rng.sample(names, min(fanout, len(names)))
         return [self._send(name, PROBE) for name in chosen]
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -55,8 +55,8 @@
 """Instances that receive each load report, whatever their total number."""
 
 OWNER_FANOUT = 12
-"""Of these, how many are cell owners when the sender owns cells. Owners forward
-requests by these reports; other instances need them only when an owner
+"""Of these, how many are cell owners when the sender owns cells. Owners use the
+reports to forward requests; other instances need them only when an owner
 fails."""
 
 PROBE_ROUNDS = 2
@@ -74,15 +74,15 @@
 GREET_EVERY_S = 2.0
 """Interval between attempts to reach addresses of unknown instances."""
 
-GREET_EARLY_INTERVAL_S = 0.2
-GREET_EARLY_FOR_S = 5.0
+EARLY_JOIN_INTERVAL_S = 0.2
+EARLY_JOIN_PERIOD_S = 5.0
 """Interval between these attempts after the start, and for how long it applies.
 If all instances start at once, the first attempts are sent before the others
 listen. At the usual interval each instance considered itself the only one for
 two seconds, and filled the engines as if no other instance sent requests to
 them."""
 
-GREET_AT_ONCE = 8
+JOIN_FANOUT = 8
 """Addresses tried in one attempt; gossip supplies the rest."""
 
 FETCH_TIMEOUT_S = 1.0
@@ -220,16 +220,16 @@
 
     async def _run_rounds(self) -> None:
         rounds = 0
-        last_greeted_at = float("-inf")
+        last_tried_at = float("-inf")
         began = time.monotonic()
         while True:
             now = time.monotonic()
-            is_early = now - began < GREET_EARLY_FOR_S
-            if now - last_greeted_at > (
-                GREET_EARLY_INTERVAL_S if is_early else GREET_EVERY_S
+            is_early = now - began < EARLY_JOIN_PERIOD_S
+            if now - last_tried_at > (
+                EARLY_JOIN_INTERVAL_S if is_early else GREET_EVERY_S
             ):
-                last_greeted_at = now
-                self._greet()
+                last_tried_at = now
+                self._try_addresses()
             if rounds % PROBE_ROUNDS == 0:
                 self._send_all(self.membership.probe(now))
                 self._note_changes()
@@ -248,7 +248,7 @@
         Where the versions are newer, those instances fetch the rows from here
         instead of asking the store each.
         """
-        self._send_standing(self._followers.led())
+        self._send_status(self._followers.led())
 
     def tell_news(self) -> None:
         """Notifies the others that the store confirmed the data, or is lost.
@@ -256,25 +256,25 @@
         An instance with the same versions adopts the age of the data, and need
         not ask the store.
         """
-        self._send_standing(self._followers.told())
+        self._send_status(self._followers.told())
 
     def without_store(self) -> list[str]:
-        """Returns the instances without the store, including this one."""
+        """Returns the instances that lost the store, including this one."""
         lost = self.standings.without_store()
         if self._registry.standing.touch == Touch.LOST:
             lost.append(self.membership.own.instance)
         return lost
 
-    def _send_standing(self, members: list[Member]) -> None:
+    def _send_status(self, members: list[Member]) -> None:
         if not members:
             return
         data = peerwords.encode(self._peer_message(None))
         for member in members:
             self._send_to(member.peers, data)
 
-    def _greet(self) -> None:
+    def _try_addresses(self) -> None:
         sends = self.membership.greet(self._addresses)
-        count = min(GREET_AT_ONCE, len(sends))
+        count = min(JOIN_FANOUT, len(sends))
         self._send_all(self._rng.sample(sends, count))
 
     def _send_loads(self) -> None:
@@ -314,13 +314,13 @@
             gossip,
             self.membership.own.instance,
             self._number,
-            self._standing(),
+            self._own_status(),
             peerwords.load_columns(loads),
             peerwords.demand_columns(demand),
             queues=queues,
         )
 
-    def _standing(self) -> Standing:
+    def _own_status(self) -> Standing:
         age_s = self._freshness.age_s(now_s())
         age_ms = -1 if math.isinf(age_s) else int(age_s * 1000)
         return dataclasses.replace(self._registry.standing, age_ms=age_ms)
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -200,7 +200,7 @@
         "test_coordination.BrokerLostTest.test_frozen_then_killed",
     ),
     Safeguard(
-        "a thawed instance refutes its death",
+        "a resumed instance refutes its failure",
         "membership",
         "self.own, state=state, beat=self.own.beat + 1",
         "self.own, state=state",
@@ -332,7 +332,7 @@
         "test_following.RegistryTest.test_configuration_never_goes_back",
     ),
     Safeguard(
-        "a row that is missing in a whole reading is gone",
+        "a row missing from a full read is removed",
         "registry",
         "[*rows, *gone]",
         "rows",
@@ -395,7 +395,7 @@
         "test_platforminstances.StoreOutageTest.test_unknown_route_without_touch",
     ),
     Safeguard(
-        "an instance that is behind asks another",
+        "an instance that is behind fetches from another",
         "standings",
         "if self._registry.is_behind(standing):",
         "if False:",
@@ -495,21 +495,21 @@
         ".test_waiting_call_left_unanswered_by_outage",
     ),
     Safeguard(
-        "the store is asked once the knowledge is too old",
+        "the store is asked once the data is too old",
         "following",
         "        if self._freshness.age_s(now) > max_age_s:\n",
         "        if False:\n",
         "test_staleversions.StaleVersionsTest.test_few_instances",
     ),
     Safeguard(
-        "words read after a standstill prove nothing",
+        "messages read after a stall confirm nothing",
         "freshness",
         "if self._was_stalled(now) or now < self._ignore_ages_until:",
         "if False:",
         "test_freshness.FreshnessTest.test_messages_read_after_a_stall",
     ),
     Safeguard(
-        "one table's answer does not vouch for another",
+        "one table's answer does not confirm another",
         "freshness",
         "            if read.version <= table_read.version\n",
         "",
@@ -559,7 +559,7 @@
         "test_silentstore.SilentStoreTest.test_newer_version_not_yet_received",
     ),
     Safeguard(
-        "the store is asked once another instance has lost it",
+        "the store is asked once another instance lost it",
         "peerlink",
         "            self.on_store_lost()\n",
         "            pass\n",
@@ -567,21 +567,21 @@
         ".test_another_instance_has_lost_the_store",
     ),
     Safeguard(
-        "a late word of a former incarnation is passed over",
+        "a late row of a former incarnation is ignored",
         "registry",
         "if server.id in self._ended_incarnations:",
         "if False:",
         "test_serverrows.IncarnationTest.test_late_row_of_the_former_incarnation",
     ),
     Safeguard(
-        "a server's start tells incarnations apart",
+        "a server's start distinguishes incarnations",
         "catalog",
         'return f"{self.name}@{self.born}" if self.born else self.name',
         "return self.name",
         "test_serverrows.IncarnationTest.test_restarted_server_has_no_former_state",
     ),
     Safeguard(
-        "an unreadable row is noted once",
+        "an unreadable row is logged once",
         "registry",
         "if self._unreadable_rows.get(row.id) == row.version:",
         "if False:",
@@ -618,9 +618,9 @@
         ".test_most_waited_behind_what_was_not_told",
     ),
     Safeguard(
-        "instances greet soon after a start",
+        "instances try to join soon after a start",
         "peerlink",
-        "is_early = now - began < GREET_EARLY_FOR_S",
+        "is_early = now - began < EARLY_JOIN_PERIOD_S",
         "is_early = False",
         "test_platforminstances.MeetingTest.test_started_together",
     ),
@@ -653,7 +653,7 @@
         "test_dispatcher.PeerWordTest.test_unreadable",
     ),
     Safeguard(
-        "a suspicion older than what is known counts",
+        "a suspicion older than the known record counts",
         "membership",
         "        self._set_state(record.instance, SUSPECT, now)\n"
         "        self._suspects_to_probe.append(record.instance)\n",
@@ -661,14 +661,14 @@
         "test_membership.MembershipTest.test_failure_among_many",
     ),
     Safeguard(
-        "who hears of a suspicion asks the suspect, too",
+        "a suspect is probed by instances that are notified",
         "membership",
         "suspects = self._suspects_to_probe[:MAX_SUSPECT_PROBES]",
         "suspects = []",
         "test_membership.MembershipTest.test_lost_datagrams_among_many",
     ),
     Safeguard(
-        "a doubt about the store ends a long pause",
+        "loss of the store ends a long pause",
         "following",
         "        return abort_waits.is_set()\n",
         "        return False\n",
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -41,7 +41,7 @@
     return log
 
 
-SILENT = object()
+UNANSWERED = object()
 """Marks a call that is never answered."""
 
 
@@ -50,7 +50,7 @@
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.on_silent = lambda: None
+        self.on_unanswered = lambda: None
         self.waits: list[float | None] = []
 
     async def read(self) -> Page:
@@ -64,8 +64,8 @@
         if not self.answers:
             await anyio.sleep_forever()
         answer = self.answers.pop(0)
-        if answer is SILENT:
-            self.on_silent()
+        if answer is UNANSWERED:
+            self.on_unanswered()
             await anyio.sleep_forever()
         if isinstance(answer, Exception):
             raise answer
@@ -88,10 +88,10 @@
             following.RETRY_MIN_S,
             following.RETRY_MAX_S,
             following.STALE_READ_PAUSE_S,
-            following.GATHER_S,
+            following.BATCH_PAUSE_S,
         )
         following.RETRY_MIN_S = following.RETRY_MAX_S = 0.0
-        following.STALE_READ_PAUSE_S = following.GATHER_S = 0.0
+        following.STALE_READ_PAUSE_S = following.BATCH_PAUSE_S = 0.0
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(
@@ -107,7 +107,7 @@
                 following.RETRY_MIN_S,
                 following.RETRY_MAX_S,
                 following.STALE_READ_PAUSE_S,
-                following.GATHER_S,
+                following.BATCH_PAUSE_S,
             ) = saved
         return registry
 
@@ -127,7 +127,7 @@
             Page((ServerRow("s", 2, None),), 2),
         )
         registry = await self.follow(script)
-        long = following.WAIT_S
+        long = following.LONG_POLL_S
         self.assertEqual(script.waits[:5], [None, 0.0, long, 0.0, long])
         self.assertFalse(self.state.lost)
         registry.expire(float("inf"))
@@ -143,10 +143,10 @@
         script = ScriptedTable(
             Page((row,), 1),
             Page((), 1),
-            SILENT,
+            UNANSWERED,
             Page((ServerRow("s", 2, b"pool:leaving"),), 2),
         )
-        script.on_silent = lambda: self.state.failed("op", "silent")
+        script.on_unanswered = lambda: self.state.failed("op", "silent")
         with anyio.fail_after(10):
             registry = await self.follow(script)
         self.assertTrue(registry.server("s").draining)
@@ -454,9 +454,9 @@
             ServerRow("c", 6, b"pool:ready"),
             ServerRow("c", 7, None),
         ]
-        news = self.isolated.take_changes(history, 8)
+        changes = self.isolated.take_changes(history, 8)
         self.assertEqual(self.usable_ids(self.isolated), ["b"])
-        self.assertEqual(news, [])
+        self.assertEqual(changes, [])
 
     def test_reconnected_instance_causes_no_fetch(self) -> None:
         # The returned instance has read a newer version and still keeps a
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -3,11 +3,11 @@
 import unittest
 
 from jasminerelay.followers import (
+    CONFIRMATION_SENDERS,
     FOLLOWERS,
     LAGGING_POLL_AGE_S,
     LEADER_POLL_AGE_S,
     MAX_POLL_AGE_S,
-    PROOF_SENDERS,
     Followers,
 )
 from jasminerelay.freshness import IGNORE_AGES_S, STALL_S, Freshness
@@ -143,7 +143,7 @@
         # they notify their zones: no instance sends to all.
         roles_of_all = self.parts(195, shared=True)
         senders = [role for role in roles_of_all if role.told()]
-        self.assertEqual(len(senders), PROOF_SENDERS)
+        self.assertEqual(len(senders), CONFIRMATION_SENDERS)
         for role in senders:
             self.assertLessEqual(len(role.told()), 3 * FOLLOWERS)
         recipients = [
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from jasminerelay.following import GATHER_S
+from jasminerelay.following import BATCH_PAUSE_S
 from jasminerelay.httpclient import BrokenError
 from jasminerelay.platform import root
 from standins.platformsite import MODEL, PLAIN
@@ -44,7 +44,7 @@
         ):
             return await call(exchange)
         await anyio.sleep(exchange.timeout_s)
-        raise BrokenError("silent for too long")
+        raise BrokenError("no answer within the time limit")
 
     def restore() -> None:
         instance.client.call = call
@@ -66,7 +66,7 @@
         site.configure()
         for instance in instances:
             await self.until(lambda i=instance: i.version == site.version)
-        await anyio.sleep(2 * GATHER_S)
+        await anyio.sleep(2 * BATCH_PAUSE_S)
 
     async def leave_next_call_unanswered(self, site, instance) -> None:
         """Returns one more change, and leaves the next call unanswered.
@@ -145,7 +145,7 @@
     async def test_newer_version_not_yet_received(self) -> None:
         # A caller of a route just added reaches an instance that knows of the
         # new version but has not received it: its own call hangs, and the
-        # snapshot of the other instance does not arrive. Its data is young
+        # snapshot of the other instance does not arrive. Its data is recent
         # enough, yet it knows that a newer version exists.
         async with self.site(2) as (site, (first, second)):
             await self.until(lambda: first.peers_live == 2)
@@ -187,7 +187,7 @@
             leave_unanswered(first, "op")
             site.configure()
             await self.until(lambda: first.version == site.version)
-            await anyio.sleep(2 * GATHER_S)
+            await anyio.sleep(2 * BATCH_PAUSE_S)
             site.configure(added=[ADDED])
             await self.until(lambda: first.version == site.version)
             answer = await self.ask(first, "/added/x")
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -1,4 +1,4 @@
-"""Randomised model of instances that share proofs of the configuration.
+"""Randomised model of instances that share the store's confirmations.
 
 The real followers, ages and reports run in virtual time on a model of the
 store, of its connections and of the messages between instances. Times and
@@ -174,10 +174,10 @@
         self.followers = Followers(member.instance, member.zone)
         log, counters = silent_log(), Counters(Statsd())
         self.state = StoreState(self.registry, self.freshness, log)
-        self.state.on_news = lambda: self.send_standing(self.followers.told())
+        self.state.on_news = lambda: self.send_status(self.followers.told())
         self.feed = RegistryFeed(self.registry, "config", counters, log)
-        self.feed.on_changed = lambda: self.send_standing(self.followers.led())
-        leading = {"op": Manner(wait_s=LEAD_WAIT_S), "servers": Manner()}
+        self.feed.on_changed = lambda: self.send_status(self.followers.led())
+        leader_mode = {"op": Manner(wait_s=LEAD_WAIT_S), "servers": Manner()}
         self._followers = {
             table: Follower(
                 table,
@@ -185,7 +185,7 @@
                 self.state,
                 counters,
                 world.rng,
-                lambda table=table: self._manner(leading[table]),
+                lambda table=table: self._mode(leader_mode[table]),
             )
             for table in TABLES
         }
@@ -209,8 +209,8 @@
     @property
     def current(self) -> bool:
         """Whether the instance refuses unknown requests finally."""
-        young = self.freshness.age_s(now()) <= CURRENT_S
-        return young and not self.standings.knows_newer(now())
+        is_recent = self.freshness.age_s(now()) <= CURRENT_S
+        return is_recent and not self.standings.knows_newer(now())
 
     async def run(self) -> None:
         """Runs until its scope is cancelled."""
@@ -229,7 +229,7 @@
                 )
                 group.start_soon(self._tick)
 
-    def send_standing(self, members: list[Member]) -> None:
+    def send_status(self, members: list[Member]) -> None:
         """Sends the versions of the instance's data to others."""
         age_s = self.freshness.age_s(now())
         standing = dataclasses.replace(
@@ -247,11 +247,11 @@
         if standing.touch:
             self.followers.heard(sender.name, now())
 
-    def _manner(self, leading: Manner) -> Manner:
+    def _mode(self, leader_mode: Manner) -> Manner:
         if self.followers.leads:
-            return leading
-        near = self.followers.closely()
-        return Manner() if near else Manner(gather_s=FAR_GATHER_S)
+            return leader_mode
+        follows_closely = self.followers.closely()
+        return Manner() if follows_closely else Manner(gather_s=FAR_GATHER_S)
 
     async def _tick(self) -> None:
         rounds = 0
@@ -270,9 +270,9 @@
             self.state.renew_after(self.followers.patience_s(lags=lags))
             if rounds % 2 == 0 and len(live) > 1:
                 others = [item for item in live if item is not self.member]
-                self.send_standing([self.world.rng.choice(others)])
+                self.send_status([self.world.rng.choice(others)])
             if rounds % 4 == 0:
-                self.send_standing(self.followers.led())
+                self.send_status(self.followers.led())
             await self._catch_up()
 
     async def _catch_up(self) -> None:
