--- a/src/jasminerelay/following.py
+++ b/src/jasminerelay/following.py
@@ -448,7 +448,7 @@
                 "server",
                 server=server.id,
                 state="gone",
-                why="did not come back after the store's outage",
+                why="row not renewed after the store outage",
             )
 
     def report(self, changes: list[ServerChange], source: str) -> None:
--- a/src/jasminerelay/freshness.py
+++ b/src/jasminerelay/freshness.py
@@ -4,8 +4,8 @@
 has changed: the store may have left a waiting call unanswered for good, on a
 connection that looks alive. So the data carries its age: the time since the
 moment up to which the store, or another instance that was confirmed by the
-store, has shown it to be complete. Final refusals to callers depend on that
-age.
+store, has shown it to be complete. Answers that tell a caller not to retry,
+such as "not found", depend on that age.
 """
 
 import dataclasses
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -418,10 +418,10 @@
         )
         if address is None:
             return
-        own_version = self._registry.standing.configuration_version
+        version = self._registry.standing.configuration_version
         exchange = Exchange(
             "GET",
-            f"http://{address}{SNAPSHOT_PATH}?{CONFIGURATION_FIELD}={own_version}"
+            f"http://{address}{SNAPSHOT_PATH}?{CONFIGURATION_FIELD}={version}"
             f"&{SERVERS_FIELD}={self._registry.delta_base_version}",
             timeout_s=FETCH_TIMEOUT_S,
         )
--- a/tests/test_staleversions.py
+++ b/tests/test_staleversions.py
@@ -1,6 +1,8 @@
 """Tests of how long instances use an old configuration and refuse by it.
 
-The real followers, ages and reports run in virtual time, see `versionworld`.
+The real followers, ages and reports run in virtual time, see `versionworld`. A
+final refusal is an answer such as "not found" that tells the caller not to
+retry.
 """
 
 import dataclasses
@@ -37,8 +39,8 @@
         # connection; connections to it are cut, availability zones are
         # partitioned, the leading instance is replaced. An instance that the
         # store answers must have a change within two seconds, by its own call
-        # or through another instance, and no instance may refuse finally by
-        # older data.
+        # or through another instance, and no instance may base a final refusal
+        # on older data.
         self.simulate(SEEDS, 6)
 
     def test_many_instances(self) -> None:
@@ -106,7 +108,7 @@
 
     def test_zone_is_cut_off_from_all(self) -> None:
         # The zone reaches neither the store nor the others. It cannot learn of
-        # the change, so it must not refuse finally by its data.
+        # the change, so it must not base a final refusal on its data.
         async def scenario(world: World) -> None:
             part = [n for n in world.nodes.values() if n.member.zone == "z1"]
             self.disconnect(world, part)
@@ -144,8 +146,8 @@
 
     def test_starts_during_the_outage(self) -> None:
         # An instance starts while the store is unresponsive and fetches the
-        # others' configuration. Like them it must not refuse finally by it, and
-        # must get the change that ends the outage in time.
+        # others' configuration. Like them it must not base a final refusal on
+        # it, and must get the change that ends the outage in time.
         async def scenario(world: World) -> None:
             for node in world.nodes.values():
                 world.leave_calls_unanswered(node)
@@ -166,8 +168,8 @@
     def test_resumes_during_the_outage(self) -> None:
         # An instance is stalled while the store changes and becomes
         # unresponsive. When it resumes it reads what the others sent at the
-        # beginning, all of it before it could ask any of them: none of that is
-        # a proof.
+        # beginning, before it could ask any of them: none of those messages
+        # confirms that its data is recent.
         async def scenario(world: World) -> None:
             node = next(iter(world.nodes.values()))
             other = list(world.nodes.values())[-1]
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -146,13 +146,12 @@
     """One instance, without requests and sockets.
 
     Attributes:
-        silences: How often the store or the connection to it has become
-            unresponsive.
+        unanswered_count: How often calls in flight were left unanswered.
         linked: Whether the connection to the store works.
         linked_since: When it began to work.
         refused: Whether the store rejects calls while it does not answer.
         part: Side of a network partition; messages do not cross sides.
-        joined: When the instance came to its side.
+        joined_at: When the instance came to its side.
     """
 
     def __init__(self, world: "World", member: Member):
@@ -208,7 +207,7 @@
 
     @property
     def current(self) -> bool:
-        """Whether the instance refuses unknown requests finally."""
+        """Whether the instance may give final refusals."""
         is_recent = self.freshness.age_s(now()) <= CURRENT_S
         return is_recent and not self.standings.knows_newer(now())
 
@@ -304,7 +303,7 @@
                 ends with it.
         """
         self._test = test
-        self._story = scenario
+        self._scenario = scenario
         self._count = count
         self.rng = random.Random(seed)
         self.shared = count >= 24
@@ -321,9 +320,9 @@
             for number in range(self._count):
                 self.start(f"z{number % 3}")
             group.start_soon(self._check_all)
-            if self._story is not None:
+            if self._scenario is not None:
                 await anyio.sleep(SETTLED_S)
-                await self._story(self)
+                await self._scenario(self)
             else:
                 group.start_soon(self._change_configuration)
                 group.start_soon(self._inject_faults)
@@ -469,13 +468,13 @@
             self._test.assertLessEqual(
                 node.freshness.age_s(now()),
                 CURRENT_S,
-                f"at {now():.2f} s {node.name} has no proof of its data's age",
+                f"at {now():.2f} s {node.name} lacks confirmation of its data",
             )
         if node.current:
             self._test.assertGreaterEqual(
                 node.version,
                 expected,
-                f"at {now():.2f} s {node.name} refuses finally by an old"
+                f"at {now():.2f} s {node.name} gives final refusals by an old"
                 " version",
             )
 
