--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -99,62 +99,60 @@
     def parts(self, count: int, **seen) -> list[Followers]:
         """Returns the role of every instance."""
         members = self.members(count)
-        roles_of_all = [Followers(m.instance, m.zone) for m in members]
-        for role in roles_of_all:
+        roles = [Followers(m.instance, m.zone) for m in members]
+        for role in roles:
             role.saw_instances(members, **seen)
-        return roles_of_all
+        return roles
 
     def test_one_leads(self) -> None:
         for count, shared in ((1, False), (6, False), (195, True)):
-            roles_of_all = self.parts(count, shared=shared)
-            self.assertEqual(sum(role.leads for role in roles_of_all), 1)
+            roles = self.parts(count, shared=shared)
+            self.assertEqual(sum(role.leads for role in roles), 1)
 
     def test_next_instance_leads_if_the_leader_loses_the_store(self) -> None:
         # The store rejects the leading instance and serves the others.
-        roles_of_all = self.parts(6, shared=False)
-        leader = next(n for n, role in enumerate(roles_of_all) if role.leads)
-        roles_of_all = self.parts(6, shared=False, without_store=[f"i{leader}"])
-        leads = [n for n, role in enumerate(roles_of_all) if role.leads]
+        roles = self.parts(6, shared=False)
+        leader = next(n for n, role in enumerate(roles) if role.leads)
+        roles = self.parts(6, shared=False, without_store=[f"i{leader}"])
+        leads = [n for n, role in enumerate(roles) if role.leads]
         self.assertEqual(len(leads), 1)
         self.assertNotEqual(leads[0], leader)
 
     def test_all_without_store(self) -> None:
         names = [f"i{n}" for n in range(6)]
-        roles_of_all = self.parts(6, shared=False, without_store=names)
-        self.assertEqual(sum(role.leads for role in roles_of_all), 1)
+        roles = self.parts(6, shared=False, without_store=names)
+        self.assertEqual(sum(role.leads for role in roles), 1)
 
     def test_poll_ages(self) -> None:
         # The leader asks first, so that one call serves all. The last instance
         # asks before its data is too old for the two seconds in which a change
         # must be in force.
-        roles_of_all = self.parts(195, shared=True)
-        ages = sorted(role.patience_s(lags=False) for role in roles_of_all)
+        roles = self.parts(195, shared=True)
+        ages = sorted(role.patience_s(lags=False) for role in roles)
         self.assertEqual(ages[0], LEADER_POLL_AGE_S)
         self.assertLess(ages[0], ages[1])
         self.assertEqual(ages[-1], MAX_POLL_AGE_S)
-        lagging_ages = sorted(
-            role.patience_s(lags=True) for role in roles_of_all
-        )
+        lagging_ages = sorted(role.patience_s(lags=True) for role in roles)
         self.assertEqual(lagging_ages[0], LAGGING_POLL_AGE_S)
         self.assertEqual(lagging_ages[1:], ages[1:])
 
     def test_large_platform_notifies_by_zone(self) -> None:
         # The leader of 195 instances notifies the followers of each zone, and
         # they notify their zones: no instance sends to all.
-        roles_of_all = self.parts(195, shared=True)
-        senders = [role for role in roles_of_all if role.told()]
+        roles = self.parts(195, shared=True)
+        senders = [role for role in roles if role.told()]
         self.assertEqual(len(senders), CONFIRMATION_SENDERS)
         for role in senders:
             self.assertLessEqual(len(role.told()), 3 * FOLLOWERS)
         recipients = [
-            member.instance for role in roles_of_all for member in role.led()
+            member.instance for role in roles for member in role.led()
         ]
         self.assertEqual(len(recipients), len(set(recipients)))
         self.assertEqual(len(recipients), 195 - 3 * FOLLOWERS)
 
     def test_small_platform_notifies_all(self) -> None:
-        roles_of_all = self.parts(6, shared=False)
-        leader = next(role for role in roles_of_all if role.leads)
+        roles = self.parts(6, shared=False)
+        leader = next(role for role in roles if role.leads)
         self.assertEqual(len(leader.told()), 5)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -83,7 +83,7 @@
         # failed pass to another, which has no records of their caches, and back
         # again. The target: each instance considers each other one as failed
         # for less than one interval an hour.
-        most = 0.2 / 3600
+        max_rate = 0.2 / 3600
         for seed in range(5):
             network = Network(
                 150, seed, peerlink.SUSPECT_S, 2 * peerlink.LOAD_INTERVAL_S
@@ -98,7 +98,7 @@
                     for name in network.views
                     for state in network.states(name).values()
                 )
-            self.assertLess(failed / (rounds * 150 * 149), most)
+            self.assertLess(failed / (rounds * 150 * 149), max_rate)
 
     def test_failure_among_many(self) -> None:
         # The safeguards against lost datagrams must not hide the failure of an
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -87,11 +87,11 @@
     async def test_change_after_the_outage(self) -> None:
         # Guards against a stale configuration after an outage. A caller of a
         # route that the operator added after an outage gets "not found" for
-        # seconds, and other requests follow the routes of before it. The store
-        # became unresponsive just before all instances called it for the next
-        # change, closed no connection, and returned. No instance called it
-        # otherwise, so all took that one unanswered call for "nothing has
-        # changed" until it timed out, 11.5 s later. The store's count of
+        # seconds, and other requests follow the routes from before the outage.
+        # The store became unresponsive just before all instances called it for
+        # the next change, closed no connection, and returned. No instance
+        # called it otherwise, so all took that one unanswered call for "nothing
+        # has changed" until it timed out, 11.5 s later. The store's count of
         # unanswered calls and the times of the log lines on its loss proved it.
         async with self.site(2) as (site, instances):
             await self.until(lambda: instances[0].peers_live == 2)
--- a/tests/test_snapshotchanges.py
+++ b/tests/test_snapshotchanges.py
@@ -17,8 +17,8 @@
 from jasminerelay.schema.messages import ServerRow
 
 SERVERS = 3000
-MOST_BYTES = 2000
-MOST_HASHES = 20 * SERVERS
+MAX_BYTES = 2000
+MAX_HASHES = 20 * SERVERS
 
 
 def row(name: str, version: int, **fields: object) -> ServerRow:
@@ -39,9 +39,9 @@
 
 def registry(count: int = 0, version: int = 1) -> Registry:
     """Returns the registry of an instance that has read the store."""
-    made = Registry(documents.catalog, documents.server)
-    made.take_all([row(f"s{n}", version) for n in range(count)], version)
-    return made
+    filled = Registry(documents.catalog, documents.server)
+    filled.take_all([row(f"s{n}", version) for n in range(count)], version)
+    return filled
 
 
 def names(of: Registry) -> dict[str, bool]:
@@ -70,7 +70,7 @@
         sender, receiver = registry(SERVERS), registry(SERVERS)
         sender.take_changes([row("s7", 2, phase="draining")], 2)
         snapshot = sender.export_snapshot(0, receiver.delta_base_version)
-        self.assertLess(len(msgspec.msgpack.encode(snapshot)), MOST_BYTES)
+        self.assertLess(len(msgspec.msgpack.encode(snapshot)), MAX_BYTES)
         receiver.adopt(snapshot)
         self.assertTrue(names(receiver)["s7"])
         self.assertEqual(len(names(receiver)), SERVERS)
@@ -126,9 +126,9 @@
     def test_any_changes_in_any_steps(self) -> None:
         for seed in range(60):
             with self.subTest(seed=seed):
-                self._play(random.Random(seed))
+                self._apply_random_changes(random.Random(seed))
 
-    def _play(self, rng: random.Random) -> None:
+    def _apply_random_changes(self, rng: random.Random) -> None:
         self.setUp()
         for version in range(2, 60):
             name = f"s{rng.randrange(8)}"
@@ -159,7 +159,7 @@
             cells, "_jump", side_effect=cells._jump
         ) as jump:
             split = cells.cells_of(f"n{number}" for number in range(SERVERS))
-        self.assertLess(jump.call_count, MOST_HASHES)
+        self.assertLess(jump.call_count, MAX_HASHES)
         sizes = [len(cell) for cell in split]
         self.assertEqual(sum(sizes), SERVERS)
         self.assertLessEqual(max(sizes) - min(sizes), 2)
