--- a/src/jasminerelay/crashes.py
+++ b/src/jasminerelay/crashes.py
@@ -1,14 +1,15 @@
-"""Finds requests that end the backend servers which run them.
-
-Pure. A server that ends takes all its runs with it, so one end says little of
-any of them: their callers repeat them, often at the next server that ends. A
-request is blocked with its third end, unless another one that was there at as
-many explains all of them but one; those that only ran beside it are let go with
-that. One whole run shows that a request ends no servers, whatever was counted
-before.
-
-What is known of a request is a set of ends and grows by union, so it does not
-matter in which order, how often and by which instance it is told.
+"""Identifies requests that crash the backend servers which process them.
+
+Without I/O. A crash terminates all in-flight requests of a server, so one crash
+is weak evidence against each of them: clients retry them, often at the next
+server that crashes. A request is blocked with its third crash, unless another
+request that was in flight at as many crashes explains all of them but one; a
+request whose crashes are explained by another one is released when that one is
+blocked. One complete response shows that a request does not crash servers,
+whatever was counted before.
+
+The state of a request is a set of crashes, merged by union, so reports of other
+instances may arrive in any order, repeatedly and from any instance.
 """
 
 import collections
@@ -16,59 +17,61 @@
 
 from jasminerelay.schema.messages import ServerEnds
 
-BLOCKED_ENDS = 3
-"""Servers that a request may end before it is not sent any more."""
+BLOCK_AFTER_CRASHES = 3
+"""Crashes after which a request is no longer sent to any server."""
 
-SUSPECT_ENDS = 2
-"""Ends from which on all instances are told, and a request is not repeated by
-an instance itself: two unlucky ones are rare, and the third decides."""
+SUSPECT_AFTER_CRASHES = 2
+"""Crashes from which on a request is broadcast to all instances and no longer
+retried by an instance itself. Two crashes by coincidence are rare; the third
+one decides."""
 
-UNEXPLAINED_ENDS = 2
-"""Ends, of those that block a request, that no other blocked one explains. One
-more may have had a cause of its own."""
+MIN_UNEXPLAINED_CRASHES = 2
+"""Crashes of a request that no other blocked request explains, for it to be
+blocked. A single one may have had a cause of its own."""
 
-KEEP_S = 24 * 3600.0
-"""How long an end counts. Callers' own jobs repeat a request for hours."""
+RETENTION_S = 24 * 3600.0
+"""How long a crash counts. Clients' batch jobs retry a request for hours."""
 
 MAX_RECORDS = 4096
-"""Requests that are kept; with more the oldest go. One end brings as many as a
-server has slots."""
+"""Requests on record; beyond that, the oldest are evicted. One crash adds as
+many as a server has slots."""
 
-MAX_ENDS = 8
-"""Ends that are kept of one request; more would tell nothing new."""
+MAX_CRASHES_PER_REQUEST = 8
+"""Crashes kept of one request; more would not change the decision."""
 
-NEWER_S = 1.0
-"""How much later a whole run must be to count as another one. Ages are rounded
-on their way: told on and on, the same run would pass for a newer one."""
+COMPLETION_TOLERANCE_S = 1.0
+"""How much later a complete response must be to count as another one. Ages are
+rounded in messages, so that after several hops the same response would pass for
+a newer one."""
 
 NEVER = float("-inf")
-MS = 1e3
+MS_PER_S = 1e3
 
 
 @dataclasses.dataclass
 class _Record:
-    """What is known of one request.
+    """Evidence for and against one request.
 
     Attributes:
-        ends: Steady time of each end, by server.
-        survived: Steady time of its last whole run.
+        crashes: Monotonic time of each crash, by server.
+        last_completion_at: Monotonic time of its last complete response.
     """
 
-    ends: dict[str, float] = dataclasses.field(default_factory=dict)
-    survived: float = NEVER
+    crashes: dict[str, float] = dataclasses.field(default_factory=dict)
+    last_completion_at: float = NEVER
 
 
 class CrashLedger:
-    """Requests and the servers that ended while they ran.
+    """Requests and the servers that crashed while they were in flight.
 
     Example:
         >>> ledger = CrashLedger()
         >>> for number, server in enumerate(("s1", "s2", "s3")):
-        ...     _ = ledger.ended("guilty", server, number)
-        >>> ledger.blocked("guilty")
+        ...     _ = ledger.ended("culprit", server, number)
+        >>> ledger.is_blocked("culprit")
         True
-        >>> _ = ledger.survived("guilty", 4.0)
-        >>> ledger.blocked("guilty")
+        >>> _ = ledger.record_completion("culprit", 4.0)
+        >>> ledger.is_blocked("culprit")
         False
     """
 
@@ -86,137 +89,150 @@
 
     @property
     def all_blocked(self) -> frozenset[str]:
-        """Fingerprints of all requests that are not sent any more."""
+        """Fingerprints of all requests that must not be sent to any server."""
         return self._blocked
 
-    def blocked(self, fingerprint: str) -> bool:
+    def is_blocked(self, fingerprint: str) -> bool:
         """Returns whether a request must not be sent."""
         return fingerprint in self._blocked
 
     def suspect(self, fingerprint: str) -> bool:
-        """Returns whether one more end would block a request."""
+        """Returns whether one more crash may block a request."""
         record = self._records.get(fingerprint)
-        return record is not None and len(record.ends) >= SUSPECT_ENDS
+        return (
+            record is not None and len(record.crashes) >= SUSPECT_AFTER_CRASHES
+        )
 
     def suspects(self) -> list[str]:
-        """Returns the requests of which all instances should know."""
+        """Returns the suspect requests, which all instances must learn of."""
         return [name for name in self._records if self.suspect(name)]
 
     def servers(self, fingerprint: str) -> list[str]:
-        """Returns the servers that ended under a request, in turn."""
+        """Returns the servers that a request crashed, oldest crash first."""
         record = self._records.get(fingerprint, _Record())
-        return sorted(record.ends, key=record.ends.__getitem__)
+        return sorted(record.crashes, key=record.crashes.__getitem__)
 
     def ended(self, fingerprint: str, server: str, now: float) -> bool:
-        """Notes that a server ended while it ran a request.
+        """Records that a server crashed while it processed a request.
 
         Returns:
-            Whether that was not known.
+            Whether the crash was new.
         """
         return self._merge(fingerprint, {server: now}, NEVER, now)
 
-    def survived(self, fingerprint: str, now: float) -> bool:
-        """Notes that a server has run a request to its end.
+    def record_completion(self, fingerprint: str, now: float) -> bool:
+        """Records that a server sent a request's complete response.
 
         Returns:
-            Whether it cleared the request of ends.
+            Whether this cleared the request of crashes.
         """
         record = self._records.get(fingerprint)
-        if record is None or not record.ends:
+        if record is None or not record.crashes:
             return False
         return self._merge(fingerprint, {}, now, now)
 
-    def hear(self, word: ServerEnds, now: float) -> bool:
-        """Takes what another instance knows of a request.
+    def merge(self, report: ServerEnds, now: float) -> bool:
+        """Merges another instance's report on a request.
 
         Returns:
-            Whether something of it was not known.
+            Whether the report contained anything new.
         """
-        ends = {
-            server: now - age_ms / MS
-            for server, age_ms in zip(word.servers, word.ages_ms, strict=True)
+        crashes = {
+            server: now - age_ms / MS_PER_S
+            for server, age_ms in zip(
+                report.servers, report.ages_ms, strict=True
+            )
         }
-        survived = (
-            NEVER if word.survived_ms < 0 else now - word.survived_ms / MS
+        last_completion_at = (
+            NEVER
+            if report.survived_ms < 0
+            else now - report.survived_ms / MS_PER_S
         )
-        return self._merge(word.fingerprint, ends, survived, now)
+        return self._merge(report.fingerprint, crashes, last_completion_at, now)
 
-    def word(self, fingerprint: str, now: float) -> ServerEnds:
-        """Returns what is known of a request, as it travels."""
+    def to_message(self, fingerprint: str, now: float) -> ServerEnds:
+        """Returns a request's record as a message."""
         record = self._records.get(fingerprint, _Record())
-        never = record.survived == NEVER
+        never = record.last_completion_at == NEVER
         return ServerEnds(
             fingerprint,
-            list(record.ends),
-            [_age_ms(at, now) for at in record.ends.values()],
-            -1 if never else _age_ms(record.survived, now),
+            list(record.crashes),
+            [_age_ms(at, now) for at in record.crashes.values()],
+            -1 if never else _age_ms(record.last_completion_at, now),
         )
 
     def expire(self, now: float) -> None:
-        """Drops what is too old to count."""
+        """Drops crashes and responses that are too old to count."""
         for name, record in list(self._records.items()):
-            record.ends = {
+            record.crashes = {
                 server: at
-                for server, at in record.ends.items()
-                if now - at < KEEP_S
+                for server, at in record.crashes.items()
+                if now - at < RETENTION_S
             }
-            if not record.ends and now - record.survived >= KEEP_S:
+            if (
+                not record.crashes
+                and now - record.last_completion_at >= RETENTION_S
+            ):
                 del self._records[name]
-        self._judge()
+        self._update_blocked()
 
     def _merge(
         self,
         fingerprint: str,
-        ends: dict[str, float],
-        survived: float,
+        crashes: dict[str, float],
+        last_completion_at: float,
         now: float,
     ) -> bool:
         record = self._records.setdefault(fingerprint, _Record())
-        before = (set(record.ends), record.survived)
-        if survived > record.survived + NEWER_S:
-            record.survived = survived
-        for server, at in ends.items():
-            if len(record.ends) < MAX_ENDS:
-                record.ends.setdefault(server, at)
-        record.ends = {
+        before = (set(record.crashes), record.last_completion_at)
+        if (
+            last_completion_at
+            > record.last_completion_at + COMPLETION_TOLERANCE_S
+        ):
+            record.last_completion_at = last_completion_at
+        for server, at in crashes.items():
+            if len(record.crashes) < MAX_CRASHES_PER_REQUEST:
+                record.crashes.setdefault(server, at)
+        record.crashes = {
             server: at
-            for server, at in record.ends.items()
-            if at > record.survived and now - at < KEEP_S
+            for server, at in record.crashes.items()
+            if at > record.last_completion_at and now - at < RETENTION_S
         }
-        changed = (set(record.ends), record.survived) != before
-        if not record.ends and record.survived == NEVER:
+        changed = (set(record.crashes), record.last_completion_at) != before
+        if not record.crashes and record.last_completion_at == NEVER:
             del self._records[fingerprint]
         if changed:
-            self._bound()
-            self._judge()
+            self._evict_excess()
+            self._update_blocked()
         return changed
 
-    def _bound(self) -> None:
+    def _evict_excess(self) -> None:
         while len(self._records) > MAX_RECORDS:
-            spare = next(
+            victim = next(
                 (x for x in self._records if x not in self._blocked), None
             )
-            self._records.pop(spare or next(iter(self._records)))
+            self._records.pop(victim or next(iter(self._records)))
 
-    def _judge(self) -> None:
-        """Blocks those that explain most ends, until none is left to explain.
+    def _update_blocked(self) -> None:
+        """Blocks requests, those with most crashes first.
 
-        An innocent request can have been beside a guilty one at three ends,
-        but then the guilty one was at as many, or soon is at more.
+        A request is skipped if those blocked before it explain its crashes. An
+        innocent request may have been in flight beside the culprit at three
+        crashes, but then the culprit was at as many, or soon is at more.
         """
         explained: set[str] = set()
         blocked = []
         for name in sorted(
-            self.suspects(), key=lambda x: (-len(self._records[x].ends), x)
+            self.suspects(), key=lambda x: (-len(self._records[x].crashes), x)
         ):
-            ends = self._records[name].ends.keys()
-            if len(ends) < BLOCKED_ENDS:
+            crashes = self._records[name].crashes.keys()
+            if len(crashes) < BLOCK_AFTER_CRASHES:
                 break
-            if len(ends - explained) >= UNEXPLAINED_ENDS:
+            if len(crashes - explained) >= MIN_UNEXPLAINED_CRASHES:
                 blocked.append(name)
-                explained |= ends
+                explained |= crashes
         self._blocked = frozenset(blocked)
 
 
 def _age_ms(at: float, now: float) -> int:
-    return max(0, round(MS * (now - at)))
+    return max(0, round(MS_PER_S * (now - at)))
--- a/src/jasminerelay/crashwatch.py
+++ b/src/jasminerelay/crashwatch.py
@@ -1,11 +1,14 @@
-"""Keeps requests under which servers end away from servers, at all instances.
-
-An instance that loses a run with its connection looks whether the server still
-takes connections. If it refuses them it has ended, and the request was there.
-First ends are told to two instances, homes by rendezvous hashing of the
-request; where a second one comes together all are told, each by each with a few
-others, so that the cost grows with the instances and not with their square.
-What is blocked stands in the store, too, for a start of all at once.
+"""Keeps requests that crash servers away from servers, at all instances.
+
+When the connection of an in-flight request breaks off, the instance probes
+whether the server still accepts connections. A server that refuses them has
+crashed, and the request was in flight at that moment.
+
+A request's first crash is reported to two instances, its coordinators by
+rendezvous hashing. Once a coordinator has seen two crashes of a request, it is
+broadcast to all instances by an epidemic protocol, so that the cost grows
+linearly with the number of instances. Blocked requests are also saved in the
+store, which carries them over a simultaneous restart of all instances.
 """
 
 import contextlib
@@ -19,7 +22,7 @@
 from jasminerelay import fingerprint, rendezvous
 from jasminerelay.catalog import BackendServer, Call
 from jasminerelay.crashes import CrashLedger
-from jasminerelay.epidemic import Epidemic
+from jasminerelay.epidemic import EpidemicBroadcast
 from jasminerelay.errors import StoreError
 from jasminerelay.eventlog import EventLog
 from jasminerelay.metrics import Counters
@@ -27,74 +30,88 @@
 from jasminerelay.schema.messages import CrashWord, Member, ServerEnds
 
 TICK_S = 0.1
-"""How often the others are told what is new."""
+"""Interval at which notifications are sent to other instances."""
 
-PROBE_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 """How long a server may take to accept or refuse a connection. One that does
-neither is cut off or silent, which says nothing of its requests."""
+neither is unreachable or unresponsive, which is no evidence against its
+requests."""
 
-PROBE_PAUSES_S = (0.0, 0.05, 0.25)
-"""Times between a lost run and the looks at its server. One that ends may go on
-accepting connections for a moment after it has dropped those that it had."""
+PROBE_DELAYS_S = (0.0, 0.05, 0.25)
+"""Delays before each probe of a server that lost a connection. A crashing
+server may go on accepting connections for a moment after it dropped those that
+it had."""
 
-PROBE_WAIT_S = 0.1
-"""Longest time that a lost request waits for that before it is repeated."""
+MAX_PROBE_WAIT_S = 0.1
+"""Longest time that a request waits for the probe before it is retried."""
 
-ENDED_LIFE_S = 5.0
-"""How long a server that refused a connection counts as ended for the runs
-that were lost with it; their ends show within milliseconds."""
+CRASHED_SERVER_TTL_S = 5.0
+"""How long a server that refused a connection counts as crashed for other
+requests whose connections broke off; these breaks show within milliseconds."""
 
-HOMES = 2
-"""Instances that collect the ends of a request. One may go at any time."""
+COORDINATORS_PER_REQUEST = 2
+"""Instances that collect the crashes of a request. Either may stop at any
+time."""
 
-HOME_TELLS_S = (0.0, 0.1, 0.4, 2.0, 10.0, 60.0)
-"""Ages of an end at which the homes are told of it: datagrams get lost, and
-homes change while their instances are replaced."""
+NOTIFY_AGES_S = (0.0, 0.1, 0.4, 2.0, 10.0, 60.0)
+"""Ages of a crash at which the coordinators are notified of it: datagrams get
+lost, and coordinators change while their instances are replaced."""
 
-MOST_TOLD = 12
+MAX_REQUESTS_PER_MESSAGE = 12
 """Requests in one datagram, some 100 bytes each; it must fit into a frame."""
 
-READ_EVERY_S = 30.0
+READ_INTERVAL_S = 30.0
+"""Interval at which the leader reads the blocked requests from the store."""
+
 RETRY_S = 1.0
-"""How often the blocked requests are read from the store where this instance
-does so for all, and how soon again without an answer."""
+"""Delay after a failed read or write of the store."""
 
-Save = Callable[[ServerEnds], Awaitable[None]]
-Read = Callable[[], Awaitable[list[ServerEnds]]]
+SaveBlocked = Callable[[ServerEnds], Awaitable[None]]
+ReadBlocked = Callable[[], Awaitable[list[ServerEnds]]]
 
 
 @dataclasses.dataclass(eq=False)
 class _Probe:
-    """Whether one server has ended.
+    """Probe of a server whose connection broke off.
 
     Attributes:
-        looked: Is set after the first look.
-        over: Whether it was the last look.
-        ended_at: Steady time at which it was found ended; None if not.
-        lost: Fingerprints of the requests that lost a run there meanwhile.
+        first_attempt_done: Set after the first attempt to connect.
+        finished: Whether there are no further attempts.
+        crashed_at: Monotonic time at which the server refused a connection;
+            None if it has not.
+        lost_requests: Fingerprints of the requests whose connections to the
+            server broke off during the probe.
     """
 
-    looked: anyio.Event = dataclasses.field(default_factory=anyio.Event)
-    over: bool = False
-    ended_at: float | None = None
-    lost: dict[str, None] = dataclasses.field(default_factory=dict)
+    first_attempt_done: anyio.Event = dataclasses.field(
+        default_factory=anyio.Event
+    )
+    finished: bool = False
+    crashed_at: float | None = None
+    lost_requests: dict[str, None] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass
-class _FirstEnd:
-    """A request's only end so far, which only this instance knows.
+class _FirstCrash:
+    """A request's only crash so far, known only to this instance.
 
     Attributes:
-        at: Steady time of it.
-        tells: How often the homes were told.
+        at: Monotonic time of the crash.
+        notifications: How often the coordinators were notified.
     """
 
     at: float
-    tells: int = 0
+    notifications: int = 0
 
 
 class CrashWatch:
-    """One instance's part; owns the ledger, and tells by `send`."""
+    """Tracks crashes at one instance and exchanges them with the others.
+
+    Attributes:
+        ledger: Crashes by request.
+        members: Returns the live instances.
+        send: Sends a message to an instance, without confirmation.
+    """
 
     def __init__(
         self,
@@ -103,18 +120,18 @@
         counters: Counters,
         log: EventLog,
         rng: random.Random,
-        refuses: Callable[[str], Awaitable[bool]] | None = None,
+        probe_refused: Callable[[str], Awaitable[bool]] | None = None,
     ):
-        """Makes the part of an instance that knows nothing yet.
+        """Creates a watch without any crashes.
 
         Args:
-            own: This instance.
+            own: ID of this instance.
             registry: Servers in use.
-            counters: Counts events.
-            log: Takes events.
+            counters: Receives counts of events.
+            log: Receives events.
             rng: Source of random choices.
-            refuses: Says whether nothing listens at an address; None for
-                `refuses_connections`.
+            probe_refused: Returns whether nothing listens at an address; None
+                for `refuses_connections`.
         """
         self.ledger = CrashLedger()
         self._own = own
@@ -123,32 +140,32 @@
         self._log = log
         self._rng = rng
         self._probes: dict[str, _Probe] = {}
-        self._first: dict[str, _FirstEnd] = {}
-        self._epidemic = Epidemic(rng)
+        self._first_crashes: dict[str, _FirstCrash] = {}
+        self._broadcast = EpidemicBroadcast(rng)
         self._unsaved: set[str] = set()
-        self._save_due = anyio.Event()
-        self._work = anyio.Event()
+        self._save_requested = anyio.Event()
+        self._work_available = anyio.Event()
         self._waiting: dict[anyio.CancelScope, Call] = {}
-        self._refuses = refuses or refuses_connections
+        self._probe_refused = probe_refused or refuses_connections
         self._probing: anyio.abc.TaskGroup | None = None
         self.members: Callable[[], Sequence[Member]] = lambda: ()
-        self.send: Callable[[Member, CrashWord], None] = lambda to, word: None
+        self.send: Callable[[Member, CrashWord], None] = lambda to, _: None
 
     def blocks(self, call: Call) -> bool:
         """Returns whether a request must not be sent to any server."""
         if not self.ledger.all_blocked:
             return False
-        return self.ledger.blocked(fingerprint.of(call))
+        return self.ledger.is_blocked(fingerprint.of(call))
 
     def repeats(self, call: Call) -> bool:
-        """Returns whether this instance may send a request once more."""
+        """Returns whether this instance may retry a request."""
         if not len(self.ledger):
             return True
         return not self.ledger.suspect(fingerprint.of(call))
 
     @contextlib.contextmanager
     def unless_blocked(self, call: Call) -> Iterator[None]:
-        """Gives a context that ends early once the request gets blocked."""
+        """Returns a context that is cancelled once the request is blocked."""
         with anyio.CancelScope() as scope:
             self._waiting[scope] = call
             try:
@@ -157,229 +174,252 @@
                 del self._waiting[scope]
 
     async def lost(self, call: Call, server: BackendServer) -> None:
-        """Takes the loss of a run whose connection broke off.
+        """Handles a connection that broke off with a request in flight.
 
-        Waits for a moment until it is known whether the server has ended:
-        whether the request may be repeated depends on it.
+        Waits up to `MAX_PROBE_WAIT_S` for the first probe of the server, since
+        a request that crashed it may not be retried.
         """
         held = self._registry.server(server.id)
         if held is None or held.draining or self._probing is None:
             return
         name = fingerprint.of(call)
         probe = self._probes.get(server.id)
-        if probe is None or (probe.over and probe.ended_at is None):
+        if probe is None or (probe.finished and probe.crashed_at is None):
             probe = self._probes[server.id] = _Probe()
             self._probing.start_soon(self._probe, server, probe)
-            self._work.set()
-        if probe.ended_at is not None:
-            self._note_end(name, server.id)
+            self._work_available.set()
+        if probe.crashed_at is not None:
+            self._record_crash(name, server.id)
             return
-        probe.lost[name] = None
-        with anyio.move_on_after(PROBE_WAIT_S):
-            await probe.looked.wait()
+        probe.lost_requests[name] = None
+        with anyio.move_on_after(MAX_PROBE_WAIT_S):
+            await probe.first_attempt_done.wait()
 
     def survived(self, call: Call) -> None:
-        """Takes a whole run of a request at a server."""
+        """Records that a server sent a request's complete response."""
         if not len(self.ledger):
             return
         name = fingerprint.of(call)
-        told = self.ledger.suspect(name)
+        was_suspect = self.ledger.suspect(name)
         blocked = self.ledger.all_blocked
-        if self.ledger.survived(name, time.monotonic()):
+        if self.ledger.record_completion(name, time.monotonic()):
             self._counters.incr("crash.cleared")
-            self._first.pop(name, None)
+            self._first_crashes.pop(name, None)
             if name in blocked:
-                self._save_soon(name)
-            if told:
-                self._epidemic.add(name)
-            self._note_blocked(blocked)
-
-    def hear(self, word: CrashWord) -> None:
-        """Takes what another instance knows."""
-        for item in word.requests:
-            if self._take(item) and self._at_home(item.fingerprint):
-                self._save_soon(item.fingerprint)
+                self._request_save(name)
+            if was_suspect:
+                self._broadcast.add(name)
+            self._handle_changes(blocked)
+
+    def hear(self, message: CrashWord) -> None:
+        """Merges another instance's reports."""
+        for item in message.requests:
+            if self._merge_report(item) and self._is_coordinator(
+                item.fingerprint
+            ):
+                self._request_save(item.fingerprint)
 
     async def run(
-        self, save: Save, read: Read, leads: Callable[[], bool]
+        self,
+        save: SaveBlocked,
+        read: ReadBlocked,
+        is_leader: Callable[[], bool],
     ) -> None:
-        """Tells the others and the store until cancelled.
+        """Exchanges crashes with other instances and the store, forever.
 
         Args:
             save: Writes a blocked request to the store.
-            read: Returns those that stand there.
-            leads: Returns whether this instance reads them for all.
+            read: Returns the blocked requests in the store.
+            is_leader: Returns whether this instance reads the store at regular
+                intervals on behalf of all; the others read it at their start.
         """
         async with anyio.create_task_group() as group:
             self._probing = group
-            group.start_soon(self._save, save)
-            group.start_soon(self._read, read, leads)
+            group.start_soon(self._save_blocked, save)
+            group.start_soon(self._read_blocked, read, is_leader)
             while True:
                 if not self._probes and not len(self.ledger):
-                    self._work = anyio.Event()
-                    await self._work.wait()
+                    self._work_available = anyio.Event()
+                    await self._work_available.wait()
                 await anyio.sleep(TICK_S)
                 self.tick()
 
     def tick(self) -> None:
-        """Tells the others what is due."""
+        """Sends the notifications that are due."""
         now = time.monotonic()
         others = [x for x in self.members() if x.instance != self._own]
         for name, probe in list(self._probes.items()):
-            if probe.over and now - (probe.ended_at or 0.0) > ENDED_LIFE_S:
+            if (
+                probe.finished
+                and now - (probe.crashed_at or 0.0) > CRASHED_SERVER_TTL_S
+            ):
                 del self._probes[name]
-        self._tell_homes(others, now)
-        self._tell(*self._epidemic.news(others), now)
-        self._remind(others, now)
+        self._notify_coordinators(others, now)
+        self._send_reports(*self._broadcast.next_round(others), now)
+        self._resync_member(others, now)
 
     async def _probe(self, server: BackendServer, probe: _Probe) -> None:
         try:
-            for pause_s in PROBE_PAUSES_S:
+            for pause_s in PROBE_DELAYS_S:
                 await anyio.sleep(pause_s)
-                if await self._refuses(server.address):
-                    self._note_server(server.id, probe)
+                if await self._probe_refused(server.address):
+                    self._record_server_crash(server.id, probe)
                     break
-                probe.looked.set()
+                probe.first_attempt_done.set()
         finally:
-            probe.looked.set()
-            probe.over = True
+            probe.first_attempt_done.set()
+            probe.finished = True
 
-    def _note_server(self, server: str, probe: _Probe) -> None:
-        probe.ended_at = time.monotonic()
+    def _record_server_crash(self, server: str, probe: _Probe) -> None:
+        probe.crashed_at = time.monotonic()
         self._counters.incr("crash.server_ended")
         self._log.trouble("server_ended", server=server)
-        for name in probe.lost:
-            self._note_end(name, server)
-        # At once: this instance may be the next to go, and nobody else knows.
+        for name in probe.lost_requests:
+            self._record_crash(name, server)
+        # Send at once: this instance may stop next, and no other one has the
+        # crash.
         self.tick()
 
-    def _note_end(self, name: str, server: str) -> None:
+    def _record_crash(self, name: str, server: str) -> None:
         blocked = self.ledger.all_blocked
         now = time.monotonic()
         if not self.ledger.ended(name, server, now):
             return
         self._counters.incr("crash.run_ended")
         if self.ledger.suspect(name):
-            self._first.pop(name, None)
-            self._epidemic.add(name)
+            self._first_crashes.pop(name, None)
+            self._broadcast.add(name)
         else:
-            self._first[name] = _FirstEnd(now)
-        if self._note_blocked(blocked) and self.ledger.blocked(name):
-            self._save_soon(name)
+            self._first_crashes[name] = _FirstCrash(now)
+        if self._handle_changes(blocked) and self.ledger.is_blocked(name):
+            self._request_save(name)
 
-    def _at_home(self, name: str) -> bool:
+    def _is_coordinator(self, name: str) -> bool:
         names = {self._own, *(x.instance for x in self.members())}
-        return self._own in rendezvous.rank(name, names)[:HOMES]
+        return (
+            self._own in rendezvous.rank(name, names)[:COORDINATORS_PER_REQUEST]
+        )
 
-    def _take(self, word: ServerEnds) -> bool:
-        """Takes a request's ends; returns whether they block it now."""
+    def _merge_report(self, report: ServerEnds) -> bool:
+        """Merges a report; returns whether the request is newly blocked."""
         blocked = self.ledger.all_blocked
-        name = word.fingerprint
-        changed = self.ledger.hear(word, time.monotonic())
-        outdated = bool(word.servers) and not self.ledger.servers(name)
-        if changed and (self.ledger.suspect(name) or word.survived_ms >= 0):
-            self._first.pop(name, None)
-            self._epidemic.add(name)
+        name = report.fingerprint
+        changed = self.ledger.merge(report, time.monotonic())
+        outdated = bool(report.servers) and not self.ledger.servers(name)
+        if changed and (self.ledger.suspect(name) or report.survived_ms >= 0):
+            self._first_crashes.pop(name, None)
+            self._broadcast.add(name)
         elif outdated and name in self.ledger:
-            # It has missed that a whole run cleared the request.
-            self._epidemic.add(name, 1)
+            # The sender missed the complete response that cleared the request.
+            self._broadcast.add(name, 1)
         if changed:
-            self._work.set()
-            self._note_blocked(blocked)
+            self._work_available.set()
+            self._handle_changes(blocked)
         return name in self.ledger.all_blocked - blocked
 
-    def _note_blocked(self, before: frozenset[str]) -> bool:
-        now_blocked = self.ledger.all_blocked
-        for name in now_blocked - before:
+    def _handle_changes(self, previously_blocked: frozenset[str]) -> bool:
+        blocked = self.ledger.all_blocked
+        for name in blocked - previously_blocked:
             self._counters.incr("crash.blocked")
             self._log.trouble(
                 "request_blocked",
                 fingerprint=name,
                 servers=self.ledger.servers(name),
-                ages_ms=self.ledger.word(name, time.monotonic()).ages_ms,
+                ages_ms=self.ledger.to_message(name, time.monotonic()).ages_ms,
             )
-        for name in before - now_blocked:
+        for name in previously_blocked - blocked:
             self._log.trouble("request_released", fingerprint=name)
-        if now_blocked - before:
+        if blocked - previously_blocked:
             for scope, call in self._waiting.items():
                 if self.blocks(call):
                     scope.cancel()
-        return bool(now_blocked - before)
+        return bool(blocked - previously_blocked)
 
-    def _tell_homes(self, others: list[Member], now: float) -> None:
-        """Tells each request's homes of ends that only this instance knows."""
+    def _notify_coordinators(self, others: list[Member], now: float) -> None:
+        """Notifies coordinators of crashes that only this instance has seen."""
         due: dict[str, list[str]] = {}
         by_name = {member.instance: member for member in others}
-        for name, end in list(self._first.items()):
-            if now - end.at < HOME_TELLS_S[end.tells]:
+        for name, first_crash in list(self._first_crashes.items()):
+            if now - first_crash.at < NOTIFY_AGES_S[first_crash.notifications]:
                 continue
-            for home in rendezvous.rank(name, [self._own, *by_name])[:HOMES]:
-                if home != self._own:
-                    due.setdefault(home, []).append(name)
-            end.tells += 1
-            if end.tells == len(HOME_TELLS_S):
-                del self._first[name]
-        for home, names in due.items():
-            self._tell([by_name[home]], names, now)
-
-    def _remind(self, others: list[Member], now: float) -> None:
-        member = self._epidemic.reminder(others)
+            for coordinator in rendezvous.rank(name, [self._own, *by_name])[
+                :COORDINATORS_PER_REQUEST
+            ]:
+                if coordinator != self._own:
+                    due.setdefault(coordinator, []).append(name)
+            first_crash.notifications += 1
+            if first_crash.notifications == len(NOTIFY_AGES_S):
+                del self._first_crashes[name]
+        for coordinator, names in due.items():
+            self._send_reports([by_name[coordinator]], names, now)
+
+    def _resync_member(self, others: list[Member], now: float) -> None:
+        member = self._broadcast.resync_target(others)
         suspects = self.ledger.suspects()
         if member is not None and suspects:
-            chosen = self._rng.sample(suspects, min(MOST_TOLD, len(suspects)))
+            chosen = self._rng.sample(
+                suspects, min(MAX_REQUESTS_PER_MESSAGE, len(suspects))
+            )
             blocked = sorted(self.ledger.all_blocked)
             rest = [name for name in chosen if name not in blocked]
-            self._tell([member], [*blocked, *rest][:MOST_TOLD], now)
+            self._send_reports(
+                [member], [*blocked, *rest][:MAX_REQUESTS_PER_MESSAGE], now
+            )
 
-    def _tell(
+    def _send_reports(
         self, members: Sequence[Member], names: list[str], now: float
     ) -> None:
-        for start in range(0, len(names), MOST_TOLD):
-            part = names[start : start + MOST_TOLD]
-            word = CrashWord(
-                self._own, [self.ledger.word(name, now) for name in part]
+        for start in range(0, len(names), MAX_REQUESTS_PER_MESSAGE):
+            part = names[start : start + MAX_REQUESTS_PER_MESSAGE]
+            message = CrashWord(
+                self._own, [self.ledger.to_message(name, now) for name in part]
             )
             for member in members:
-                self.send(member, word)
+                self.send(member, message)
 
-    def _save_soon(self, name: str) -> None:
+    def _request_save(self, name: str) -> None:
         self._unsaved.add(name)
-        self._save_due.set()
+        self._save_requested.set()
 
-    async def _save(self, save: Save) -> None:
+    async def _save_blocked(self, save: SaveBlocked) -> None:
         while True:
-            await self._save_due.wait()
-            self._save_due = anyio.Event()
+            await self._save_requested.wait()
+            self._save_requested = anyio.Event()
             while self._unsaved:
                 name = min(self._unsaved)
                 try:
-                    await save(self.ledger.word(name, time.monotonic()))
+                    await save(self.ledger.to_message(name, time.monotonic()))
                     self._unsaved.discard(name)
                 except StoreError as exc:
                     self._log.info("blocked_not_saved", why=exc.message)
                     await anyio.sleep(RETRY_S)
 
-    async def _read(self, read: Read, leads: Callable[[], bool]) -> None:
+    async def _read_blocked(
+        self, read: ReadBlocked, is_leader: Callable[[], bool]
+    ) -> None:
         first = True
         while True:
-            if first or leads():
+            if first or is_leader():
                 try:
                     for item in await read():
-                        self._take(item)
+                        self._merge_report(item)
                     first = False
                 except StoreError as exc:
                     self._log.info("blocked_not_read", why=exc.message)
                     await anyio.sleep(RETRY_S)
                     continue
-            await anyio.sleep(READ_EVERY_S)
+            await anyio.sleep(READ_INTERVAL_S)
             self.ledger.expire(time.monotonic())
 
 
 async def refuses_connections(address: str) -> bool:
-    """Returns whether nothing listens at an address whose host answers."""
+    """Returns whether an address refuses connections while its host answers.
+
+    A time-out is no refusal.
+    """
     host, _, port = address.rpartition(":")
     try:
-        with anyio.fail_after(PROBE_S):
+        with anyio.fail_after(PROBE_TIMEOUT_S):
             stream = await anyio.connect_tcp(host, int(port))
     except TimeoutError:
         return False
--- a/src/jasminerelay/epidemic.py
+++ b/src/jasminerelay/epidemic.py
@@ -1,8 +1,9 @@
-"""Tells all instances what is new, each telling a few others.
+"""Broadcasts news to all instances by an epidemic protocol.
 
-Pure. Whoever hears news for the first time passes it on for some rounds, so the
-cost of one piece of news grows with the instances and not with their square,
-and lost words and dead instances in between do not matter.
+Without I/O. An instance that receives an item for the first time forwards it to
+a few others in each of the following rounds. The cost of an item grows linearly
+with the number of instances, and neither lost messages nor dead instances in
+between prevent its spread.
 """
 
 import random
@@ -11,43 +12,54 @@
 from jasminerelay.schema.messages import Member
 
 FANOUT = 4
+"""Instances to which news are sent in one round."""
+
 ROUNDS = 4
-"""Others that are told in a round, and rounds: with 195 instances each hears
-it from 16 others on average."""
+"""Rounds in which an item is forwarded. With 195 instances, each receives it
+from 16 others on average."""
 
-REMIND_EVERY = 10
-"""Rounds between two words of all that is known to one other instance, by which
+RESYNC_EVERY_ROUNDS = 10
+"""Rounds between two full synchronisations with one other instance, from which
 new instances learn what they missed."""
 
 
-class Epidemic:
-    """News of one instance, by name, and who is told of them."""
+class EpidemicBroadcast:
+    """Items that one instance still has to forward, by name."""
 
     def __init__(self, rng: random.Random):
-        """Makes an instance's part without news.
+        """Creates a broadcast without items.
 
         Args:
             rng: Source of random choices.
         """
         self._rng = rng
-        self._left: dict[str, int] = {}
-        self._rounds = 0
+        self._rounds_left: dict[str, int] = {}
+        self._round = 0
 
     def add(self, name: str, rounds: int = ROUNDS) -> None:
-        """Notes news; they are told for so many rounds more."""
-        self._left[name] = max(rounds, self._left.get(name, 0))
+        """Adds an item, to be forwarded in the given number of rounds."""
+        self._rounds_left[name] = max(rounds, self._rounds_left.get(name, 0))
 
-    def news(self, others: Sequence[Member]) -> tuple[list[Member], list[str]]:
-        """Returns whom to tell now, and of what; counts as a round."""
-        names = list(self._left)
-        self._left = {x: left - 1 for x, left in self._left.items() if left > 1}
+    def next_round(
+        self, members: Sequence[Member]
+    ) -> tuple[list[Member], list[str]]:
+        """Starts a round; returns the instances and the items to send them."""
+        names = list(self._rounds_left)
+        self._rounds_left = {
+            x: rounds_left - 1
+            for x, rounds_left in self._rounds_left.items()
+            if rounds_left > 1
+        }
         if not names:
             return [], []
-        return self._rng.sample(others, min(FANOUT, len(others))), names
+        return self._rng.sample(members, min(FANOUT, len(members))), names
+
+    def resync_target(self, members: Sequence[Member]) -> Member | None:
+        """Returns the instance that is due for a full synchronisation, if any.
 
-    def reminder(self, others: Sequence[Member]) -> Member | None:
-        """Returns whom to tell of all that is known; mostly nobody."""
-        self._rounds += 1
-        if not others or self._rounds % REMIND_EVERY:
+        Counts calls; only every `RESYNC_EVERY_ROUNDS`th returns an instance.
+        """
+        self._round += 1
+        if not members or self._round % RESYNC_EVERY_ROUNDS:
             return None
-        return self._rng.choice(others)
+        return self._rng.choice(members)
--- a/src/jasminerelay/fingerprint.py
+++ b/src/jasminerelay/fingerprint.py
@@ -1,6 +1,6 @@
-"""Tells whether two requests are the same one, sent again.
+"""Identifies retries of the same request.
 
-Each try of a caller has an id of its own, so only what it sends tells.
+Clients send each retry under a new ID, so identity is derived from the content.
 """
 
 import hashlib
@@ -8,16 +8,16 @@
 from jasminerelay.catalog import Call
 
 SIZE_BYTES = 16
-"""Enough that no two requests of a day have the same one by chance, and too
-many for a caller to find a second request with another's."""
+"""Digest size: large enough that no two requests of a day collide by chance,
+and that a client cannot construct a second request with the same digest."""
 
 
 def of(call: Call) -> str:
-    """Returns the same text for the same request of the same organisation.
+    """Returns the same digest for each retry of an organisation's request.
 
     Args:
-        call: The request. Its method, host, target and body count; its header
-            fields do not, since callers change ids and times with each try.
+        call: The request. Its method, host, target and body count; its headers
+            do not, since clients change IDs and times with each retry.
     """
     digest = hashlib.blake2b(digest_size=SIZE_BYTES)
     for part in (
@@ -27,7 +27,7 @@
         call.target,
         call.body,
     ):
-        # With its length, so that no part's end can pass for the next's start.
+        # Prefixed with its length, so that parts cannot run into each other.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -13,7 +13,7 @@
 import anyio
 
 from jasminerelay import rendezvous
-from jasminerelay.epidemic import Epidemic
+from jasminerelay.epidemic import EpidemicBroadcast
 from jasminerelay.eventlog import EventLog
 from jasminerelay.exchange import Head
 from jasminerelay.metrics import Counters
@@ -75,7 +75,7 @@
         self._counters = counters
         self._log = log
         self._rng = rng
-        self._epidemic = Epidemic(rng)
+        self._epidemic = EpidemicBroadcast(rng)
         self._lenders: dict[str, Lender] = {}
         self._homes: dict[str, str | None] = {}
         self._names: tuple[str, ...] = (own,)
@@ -253,10 +253,10 @@
 
     def _tell_news(self, now: float) -> None:
         others = [x for x in self._members.values() if x.instance != self._own]
-        told, names = self._epidemic.news(others)
+        told, names = self._epidemic.next_round(others)
         words = self.allowance.words(now)
         self._tell(told, [x for x in words if x.server in names])
-        member = self._epidemic.reminder(others)
+        member = self._epidemic.resync_target(others)
         if member is not None:
             self._tell([member], words)
 
--- a/tests/crashworld.py
+++ b/tests/crashworld.py
@@ -1,4 +1,4 @@
-"""Several instances and servers that end under one request, without sockets."""
+"""Simulates instances and servers that one request crashes, without sockets."""
 
 import anyio
 
@@ -9,29 +9,29 @@
 from tests.instanceworld import InstanceWorld, Node, Quiet
 
 SERVICE = "engines"
-IN_TOUCH_S = 3.0
-"""Time from which on every instance that others can reach must know a thing."""
+PROPAGATION_S = 3.0
+"""Time after which every connected instance must have learnt of a crash."""
 
-DAY_S = 24.0
-FAULTS_S = 12.0
-"""How long instances are killed, cut off and started anew."""
+DURATION_S = 24.0
+FAULTS_DURATION_S = 12.0
+"""How long instances are killed, partitioned and restarted."""
 
 RESTART_S = 2.0
-RUN_S = 1.0
-BESIDE = 12
-"""Innocent requests under way at each server."""
+PROCESSING_S = 1.0
+INNOCENT_PER_SERVER = 12
+"""Innocent requests in flight at each server."""
 
-TRIES = 4
+MAX_ATTEMPTS = 4
 
 
-class World(InstanceWorld):
-    """Plays one seed of one day.
+class CrashSimulation(InstanceWorld):
+    """Simulates one seed.
 
     Attributes:
-        ends: Times at which servers ended under the guilty request.
-        late: Sends of it by instances in touch, later than `IN_TOUCH_S` after
-            the third end.
-        innocents: Fingerprints of all requests that only ran beside it.
+        crash_times: Times at which the culprit crashed a server.
+        late: Times at which connected instances sent the culprit, later
+            than `PROPAGATION_S` after the third crash.
+        innocents: Fingerprints of all requests that crash no server.
     """
 
     def __init__(self, seed: int, instances: int, *, faults: bool = True):
@@ -39,37 +39,37 @@
         self._servers: dict[str, BackendServer] = {}
         self._running: dict[str, list[tuple[Node, Call, int]]] = {}
         self._rows: dict[str, ServerEnds] = {}
-        self.ends: list[float] = []
+        self.crash_times: list[float] = []
         self.late: list[float] = []
         self.innocents: set[str] = set()
         self.refused = 0
-        self._guilty = call(b"guilty")
+        self._culprit = call(b"guilty")
 
-    # What the programs see of the world.
+    # The environment as the instances see it.
 
     def server(self, name: str) -> BackendServer | None:
-        """Returns a server by its row, which stays for a while."""
+        """Returns a registered server; crashed ones stay for a while."""
         return self._servers.get(name)
 
-    async def refuses(self, address: str) -> bool:
+    async def probe_refused(self, address: str) -> bool:
         """Returns whether nothing listens at an address."""
         await anyio.sleep(0.001)
         return address not in self._running
 
-    async def save(self, word: ServerEnds) -> None:
-        """Keeps a row."""
+    async def save(self, message: ServerEnds) -> None:
+        """Stores a row."""
         await anyio.sleep(0.005)
-        self._rows[word.fingerprint] = word
+        self._rows[message.fingerprint] = message
 
     async def read(self) -> list[ServerEnds]:
-        """Returns the rows."""
+        """Returns the stored rows."""
         await anyio.sleep(0.005)
         return list(self._rows.values())
 
-    # The day.
+    # The simulation.
 
     async def run(self) -> None:
-        """Plays the day."""
+        """Runs the simulation."""
         async with anyio.create_task_group() as group:
             self.group = group
             for _ in range(6):
@@ -77,16 +77,16 @@
             for _ in range(self.count):
                 self.start_node()
             await anyio.sleep(0.5)
-            group.start_soon(self._send_innocents)
-            group.start_soon(self._send_guilty)
+            group.start_soon(self._send_innocent_requests)
+            group.start_soon(self._send_culprit_repeatedly)
             if self.faults:
-                group.start_soon(self._disturb)
-            await anyio.sleep(DAY_S)
+                group.start_soon(self._inject_faults)
+            await anyio.sleep(DURATION_S)
             group.cancel_scope.cancel()
 
     @property
     def blocked_innocents(self) -> set[str]:
-        """Innocent requests that some instance would still refuse."""
+        """Innocent requests that some instance still blocks."""
         return {
             name
             for node in self.alive
@@ -95,8 +95,10 @@
         }
 
     def make(self, name: str) -> CrashWatch:
-        """Makes the program's part of a new instance."""
-        return CrashWatch(name, self, Quiet(), Quiet(), self.rng, self.refuses)
+        """Returns the crash watch of a new instance."""
+        return CrashWatch(
+            name, self, Quiet(), Quiet(), self.rng, self.probe_refused
+        )
 
     async def live(self, node: Node) -> None:
         """Runs an instance until it is cancelled."""
@@ -104,9 +106,9 @@
         await node.watch.run(self.save, self.read, lambda: False)
 
     def victims(self) -> list[Node]:
-        """Returns the instances that know of ends, or else all."""
-        homes = [x for x in self.alive if len(x.watch.ledger)]
-        return homes or self.alive
+        """Returns the instances that have recorded crashes, or else all."""
+        informed = [x for x in self.alive if len(x.watch.ledger)]
+        return informed or self.alive
 
     def _start_server(self) -> None:
         name = f"s{self.number()}"
@@ -115,44 +117,48 @@
         )
         self._running[name] = []
 
-    async def _send_innocents(self) -> None:
+    async def _send_innocent_requests(self) -> None:
         number = 0
         while True:
             number += 1
             request = call(b"innocent %d" % number)
             self.innocents.add(fingerprint.of(request))
-            self._begin(request, 1)
-            await anyio.sleep(RUN_S / BESIDE / 6)
+            self._start_attempt(request, 1)
+            await anyio.sleep(PROCESSING_S / INNOCENT_PER_SERVER / 6)
 
-    def _begin(self, request: Call, tries: int) -> None:
+    def _start_attempt(self, request: Call, attempts: int) -> None:
         node = self.rng.choice(self.alive)
         if node.watch.blocks(request) or not self._running:
             self.refused += 1
             return
         name = self.rng.choice(list(self._running))
-        run = (node, request, tries)
+        run = (node, request, attempts)
         self._running[name].append(run)
-        self.group.start_soon(self._end_well, name, run)
+        self.group.start_soon(self._complete, name, run)
 
-    async def _end_well(self, name: str, run: tuple[Node, Call, int]) -> None:
-        await anyio.sleep(RUN_S)
+    async def _complete(self, name: str, run: tuple[Node, Call, int]) -> None:
+        await anyio.sleep(PROCESSING_S)
         if run in self._running.get(name, ()):
             self._running[name].remove(run)
             run[0].watch.survived(run[1])
 
-    async def _send_guilty(self) -> None:
+    async def _send_culprit_repeatedly(self) -> None:
         while True:
             await anyio.sleep(self.rng.uniform(0.3, 1.5))
             nodes = self.alive
             if nodes and self._running:
-                self._send_once(self.rng.choice(nodes))
+                self._send_culprit(self.rng.choice(nodes))
 
-    def _send_once(self, node: Node) -> None:
-        if node.watch.blocks(self._guilty):
+    def _send_culprit(self, node: Node) -> None:
+        if node.watch.blocks(self._culprit):
             return
         now = anyio.current_time()
-        in_touch = node.in_touch(now, IN_TOUCH_S)
-        if len(self.ends) >= 3 and now > self.ends[2] + IN_TOUCH_S and in_touch:
+        connected = node.in_touch(now, PROPAGATION_S)
+        if (
+            len(self.crash_times) >= 3
+            and now > self.crash_times[2] + PROPAGATION_S
+            and connected
+        ):
             self.late.append(now)
         name = self.rng.choice(list(self._running))
         self.group.start_soon(self._crash, node, name)
@@ -162,26 +168,28 @@
         runs = self._running.pop(name, None)
         if runs is None:
             return
-        self.ends.append(anyio.current_time())
+        self.crash_times.append(anyio.current_time())
         server = self._servers[name]
-        runs.append((node, self._guilty, TRIES))
-        for held, request, tries in runs:
+        runs.append((node, self._culprit, MAX_ATTEMPTS))
+        for held, request, attempts in runs:
             if held.alive:
-                self.group.start_soon(self._lose, held, request, tries, server)
+                self.group.start_soon(
+                    self._lose_connection, held, request, attempts, server
+                )
         await anyio.sleep(RESTART_S)
         del self._servers[name]
         self._start_server()
 
-    async def _lose(
-        self, node: Node, request: Call, tries: int, server: BackendServer
+    async def _lose_connection(
+        self, node: Node, request: Call, attempts: int, server: BackendServer
     ) -> None:
         await node.watch.lost(request, server)
-        if tries < TRIES:
+        if attempts < MAX_ATTEMPTS:
             await anyio.sleep(self.rng.choice((0.01, 0.5)))
-            self._begin(request, tries + 1)
+            self._start_attempt(request, attempts + 1)
 
-    async def _disturb(self) -> None:
-        await self.disturb(anyio.current_time() + FAULTS_S)
+    async def _inject_faults(self) -> None:
+        await self.disturb(anyio.current_time() + FAULTS_DURATION_S)
         if self.rng.random() < 0.5:
             self.kill_all()
 
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -694,44 +694,44 @@
         "if not crashes.blocks(self._call):",
         "if True:",
         "test_crashingrequests.CrashingRequestTest"
-        ".test_repeats_at_all_instances_end_three_servers_at_most",
+        ".test_retries_crash_three_servers_at_most",
     ),
     Safeguard(
         "only a server that refuses connections has ended",
         "crashwatch",
-        "if await self._refuses(server.address):",
+        "if await self._probe_refused(server.address):",
         "if True:",
-        "test_crashingrequests.LivingServerTest.test_broken_streams_are_no_ends",
+        "test_crashingrequests.BrokenConnectionTest"
+        ".test_broken_streams_are_no_crashes",
     ),
     Safeguard(
         "a server that refuses connections a moment later has ended",
         "crashwatch",
-        "PROBE_PAUSES_S = (0.0, 0.05, 0.25)",
-        "PROBE_PAUSES_S = (0.0,)",
-        "test_crashes.ProbeTest.test_refuses_a_moment_later",
+        "PROBE_DELAYS_S = (0.0, 0.05, 0.25)",
+        "PROBE_DELAYS_S = (0.0,)",
+        "test_crashes.ProbeTest.test_refuses_shortly_after",
     ),
     Safeguard(
         "ends that another request explains are let go",
         "crashes",
-        "if len(ends - explained) >= UNEXPLAINED_ENDS:",
+        "if len(crashes - explained) >= MIN_UNEXPLAINED_CRASHES:",
         "if True:",
-        "test_crashes.CrashLedgerTest"
-        ".test_ends_that_the_guilty_one_explains_are_let_go",
+        "test_crashes.CrashLedgerTest.test_explained_requests_are_released",
     ),
     Safeguard(
         "all are told from the second end on",
         "crashwatch",
-        "self._tell(*self._epidemic.news(others), now)",
+        "self._send_reports(*self._broadcast.next_round(others), now)",
         "pass",
-        "test_crashes.CrashModelTest.test_calm_day",
+        "test_crashes.CrashSimulationTest.test_without_faults",
     ),
     Safeguard(
         "what is blocked outlasts all instances",
         "crashwatch",
-        "await save(self.ledger.word(name, time.monotonic()))",
+        "await save(self.ledger.to_message(name, time.monotonic()))",
         "pass",
         "test_crashingrequests.CrashingRequestTest"
-        ".test_start_of_all_at_once_forgets_nothing",
+        ".test_blocked_requests_survive_full_restart",
     ),
     Safeguard(
         "a grant to send lapses",
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,6 +1,7 @@
-"""Requests under which servers end, as instances learn of them together.
+"""Detection of requests that crash servers, at one instance and at many.
 
-Run with more seeds by hand: `python -m tests.test_crashes 400 6`.
+More seeds are simulated by `python -m tests.test_crashes SEEDS INSTANCES`, for
+example `python -m tests.test_crashes 400 6`.
 """
 
 import itertools
@@ -15,90 +16,90 @@
 
 from jasminerelay import crashes, crashwatch
 from jasminerelay.catalog import BackendServer
-from jasminerelay.crashes import BLOCKED_ENDS, MAX_RECORDS, CrashLedger
+from jasminerelay.crashes import BLOCK_AFTER_CRASHES, MAX_RECORDS, CrashLedger
 from jasminerelay.crashwatch import CrashWatch
 from tests import virtualtime
-from tests.crashworld import SERVICE, World, call
+from tests.crashworld import SERVICE, CrashSimulation, call
 from tests.instanceworld import Quiet
 
 SEEDS = 12
-MOST_LATE = 3
-"""Sends that instances in touch may make after the third end at most, later
-than word of it takes to reach them."""
+MAX_LATE_SENDS = 3
+"""Sends of a request by connected instances, later than `PROPAGATION_S` after
+its third crash, that the simulation with faults tolerates."""
 
 SERVERS = ("s1", "s2", "s3", "s4", "s5")
 
 
 class CrashLedgerTest(unittest.TestCase):
-    """What ends say of requests."""
+    """Which requests crashes block."""
 
     def setUp(self) -> None:
         self.ledger = CrashLedger()
 
-    def end(self, server: str, *requests: str, at: float = 0.0) -> None:
-        """Ends a server under some requests."""
+    def crash(self, server: str, *requests: str, at: float = 0.0) -> None:
+        """Records a crash with some requests in flight."""
         for name in requests:
             self.ledger.ended(name, server, at)
 
-    def test_third_end_blocks(self) -> None:
-        self.end("s1", "guilty")
-        self.end("s2", "guilty")
-        self.assertFalse(self.ledger.blocked("guilty"))
-        self.end("s3", "guilty")
-        self.assertTrue(self.ledger.blocked("guilty"))
+    def test_third_crash_blocks(self) -> None:
+        self.crash("s1", "guilty")
+        self.crash("s2", "guilty")
+        self.assertFalse(self.ledger.is_blocked("guilty"))
+        self.crash("s3", "guilty")
+        self.assertTrue(self.ledger.is_blocked("guilty"))
 
-    def test_one_end_counts_once_however_often_it_is_told(self) -> None:
-        for _ in range(BLOCKED_ENDS + 1):
-            self.end("s1", "innocent")
+    def test_repeated_report_counts_once(self) -> None:
+        for _ in range(BLOCK_AFTER_CRASHES + 1):
+            self.crash("s1", "innocent")
         self.assertFalse(self.ledger.suspect("innocent"))
 
-    def test_whole_run_clears(self) -> None:
+    def test_complete_response_clears(self) -> None:
         for server in SERVERS[:3]:
-            self.end(server, "popular", at=1.0)
-        self.ledger.survived("popular", 2.0)
-        self.assertFalse(self.ledger.blocked("popular"))
+            self.crash(server, "popular", at=1.0)
+        self.ledger.record_completion("popular", 2.0)
+        self.assertFalse(self.ledger.is_blocked("popular"))
 
-    def test_whole_run_before_an_end_clears_nothing_later(self) -> None:
-        self.ledger.survived("guilty", 1.0)
+    def test_earlier_response_clears_no_later_crash(self) -> None:
+        self.ledger.record_completion("guilty", 1.0)
         for server in SERVERS[:3]:
-            self.end(server, "guilty", at=2.0)
-        self.assertTrue(self.ledger.blocked("guilty"))
-
-    def test_ends_that_the_guilty_one_explains_are_let_go(self) -> None:
-        # Guards against innocent requests refused for good since they ran
-        # beside the guilty one, again after each repeat.
-        self.end("s1", "guilty", "first", "second")
-        self.end("s2", "guilty", "first", "third")
-        self.end("s3", "guilty", "first", "second", "third")
-        self.end("s4", "guilty", "second", "third")
+            self.crash(server, "guilty", at=2.0)
+        self.assertTrue(self.ledger.is_blocked("guilty"))
+
+    def test_explained_requests_are_released(self) -> None:
+        # Guards against innocent requests that stay blocked because they were
+        # in flight beside the culprit again at each retry.
+        self.crash("s1", "guilty", "first", "second")
+        self.crash("s2", "guilty", "first", "third")
+        self.crash("s3", "guilty", "first", "second", "third")
+        self.crash("s4", "guilty", "second", "third")
         self.assertEqual(self.ledger.all_blocked, {"guilty"})
 
-    def test_two_guilty_ones(self) -> None:
+    def test_two_culprits(self) -> None:
         for server in SERVERS[:3]:
-            self.end(server, "guilty")
+            self.crash(server, "guilty")
         for server in SERVERS[2:]:
-            self.end(server, "other")
+            self.crash(server, "other")
         self.assertEqual(self.ledger.all_blocked, {"guilty", "other"})
-        # One that has ended more servers lets none of the two go.
-        self.end("s6", "other")
+        # A culprit with more crashes does not release the other one.
+        self.crash("s6", "other")
         self.assertEqual(self.ledger.all_blocked, {"guilty", "other"})
 
-    def test_ends_of_another_day_count_no_more(self) -> None:
+    def test_expired_crashes_do_not_count(self) -> None:
         for server in SERVERS[:3]:
-            self.end(server, "guilty")
-        self.ledger.expire(crashes.KEEP_S)
-        self.assertFalse(self.ledger.blocked("guilty"))
+            self.crash(server, "guilty")
+        self.ledger.expire(crashes.RETENTION_S)
+        self.assertFalse(self.ledger.is_blocked("guilty"))
         self.assertEqual(len(self.ledger), 0)
 
     def test_many_different_requests_take_bounded_memory(self) -> None:
-        # Guards against a caller who makes the table grow without end, or
-        # pushes a blocked request out of it.
+        # Guards against a client that makes the table grow without bound, or
+        # causes the eviction of a blocked request.
         for server in SERVERS[:3]:
-            self.end(server, "guilty")
+            self.crash(server, "guilty")
         for number in range(MAX_RECORDS + 100):
-            self.end("s9", f"r{number}")
+            self.crash("s9", f"r{number}")
         self.assertLessEqual(len(self.ledger), MAX_RECORDS)
-        self.assertTrue(self.ledger.blocked("guilty"))
+        self.assertTrue(self.ledger.is_blocked("guilty"))
 
     @hypothesis.given(
         st.lists(
@@ -109,20 +110,22 @@
         ),
         st.randoms(use_true_random=False),
     )
-    def test_order_and_repeats_of_words_change_nothing(self, ends, rng):
-        words = []
-        for name, server in ends:
+    def test_order_and_repetition_of_reports_do_not_matter(
+        self, crash_list, rng
+    ):
+        reports = []
+        for name, server in crash_list:
             source = CrashLedger()
             source.ended(name, server, 1.0)
-            words.append(source.word(name, 2.0))
-        told = [*words, *words]
-        rng.shuffle(told)
-        other = CrashLedger()
-        for word in words:
-            self.ledger.hear(word, 2.0)
-        for word in told:
-            other.hear(word, 2.0)
-        self.assertEqual(self.ledger.all_blocked, other.all_blocked)
+            reports.append(source.to_message(name, 2.0))
+        shuffled = [*reports, *reports]
+        rng.shuffle(shuffled)
+        receiver = CrashLedger()
+        for report in reports:
+            self.ledger.merge(report, 2.0)
+        for report in shuffled:
+            receiver.merge(report, 2.0)
+        self.assertEqual(self.ledger.all_blocked, receiver.all_blocked)
         self.ledger = CrashLedger()
 
     @hypothesis.given(
@@ -132,127 +135,145 @@
             max_size=4,
         )
     )
-    def test_one_more_end_settles_a_tie(self, beside) -> None:
-        # Whoever ran beside the guilty one at its first three ends, it is
-        # blocked with the fourth, and no other request is but one that was
-        # there at all four.
+    def test_fourth_crash_settles_a_tie(self, others_in_flight) -> None:
+        # Whichever requests were in flight at the culprit's first three
+        # crashes, the fourth one blocks it, and no other request except those
+        # in flight at all four.
         ledger = CrashLedger()
-        for server, names in zip(SERVERS, beside, strict=False):
+        for server, names in zip(SERVERS, others_in_flight, strict=False):
             for name in (*sorted(names), "guilty"):
                 ledger.ended(name, server, 0.0)
-        always = set.intersection(*beside)
-        self.assertLessEqual(ledger.all_blocked, always | {"guilty"})
-        if not always:
+        in_flight_always = set.intersection(*others_in_flight)
+        self.assertLessEqual(ledger.all_blocked, in_flight_always | {"guilty"})
+        if not in_flight_always:
             self.assertEqual(ledger.all_blocked, {"guilty"})
 
 
 class ProbeTest(unittest.TestCase):
-    """How an instance finds that a server has ended."""
+    """How an instance finds that a server has crashed."""
 
-    def look(self, refuses_at: float | None) -> CrashWatch:
-        """Loses a run; returns the watch a second later.
+    def watch_after_loss(self, refusing_from: float | None) -> CrashWatch:
+        """Loses a connection; returns the watch one second later.
 
         Args:
-            refuses_at: Time from which on the server refuses connections;
+            refusing_from: Time from which on the server refuses connections;
                 None for never.
         """
         server = BackendServer("s", SERVICE, "s", "", 8, draining=False)
         registry = types.SimpleNamespace(server=lambda name: server)
-        quiet = Quiet()
+        sink = Quiet()
 
-        async def refuses(address: str) -> bool:
-            return refuses_at is not None and (
-                anyio.current_time() >= refuses_at
+        async def probe_refused(address: str) -> bool:
+            return refusing_from is not None and (
+                anyio.current_time() >= refusing_from
             )
 
         watch = CrashWatch(
-            "n", registry, quiet, quiet, random.Random(1), refuses
+            "n", registry, sink, sink, random.Random(1), probe_refused
         )
 
-        async def play() -> None:
+        async def run_scenario() -> None:
             async with anyio.create_task_group() as group:
-                group.start_soon(watch.run, no_rows, no_rows, lambda: False)
+                group.start_soon(
+                    watch.run, empty_store, empty_store, lambda: False
+                )
                 await anyio.sleep(0.001)
                 await watch.lost(call(b"x"), server)
                 self.assertLess(anyio.current_time(), 0.05)
                 await anyio.sleep(1.0)
                 group.cancel_scope.cancel()
 
-        virtualtime.run(play, (crashwatch,))
+        virtualtime.run(run_scenario, (crashwatch,))
         return watch
 
     def test_refuses_at_once(self) -> None:
-        self.assertEqual(len(self.look(0.0).ledger), 1)
+        self.assertEqual(len(self.watch_after_loss(0.0).ledger), 1)
 
-    def test_refuses_a_moment_later(self) -> None:
-        # Guards against ends that go unseen, since a server drops what it has
-        # before it stops listening.
-        self.assertEqual(len(self.look(0.03).ledger), 1)
+    def test_refuses_shortly_after(self) -> None:
+        # Guards against missed crashes: a server drops its connections before
+        # it stops listening.
+        self.assertEqual(len(self.watch_after_loss(0.03).ledger), 1)
 
-    def test_lives_on(self) -> None:
-        # A living server's request is repeated at once, and counts no end.
-        self.assertEqual(len(self.look(None).ledger), 0)
+    def test_accepts_connections(self) -> None:
+        # A running server's request is retried at once, without a crash.
+        self.assertEqual(len(self.watch_after_loss(None).ledger), 0)
 
 
-async def no_rows(*words: object) -> list:
-    """Stands for a store without rows."""
+async def empty_store(*reports: object) -> list:
+    """Stands in for a store without rows."""
     return []
 
 
-class CrashModelTest(unittest.TestCase):
-    """One guilty request beside many others, at 6 and at 195 instances."""
+class CrashSimulationTest(unittest.TestCase):
+    """One request that crashes servers among many others, simulated."""
 
-    def play(self, seed: int, instances: int, *, faults: bool = True) -> World:
-        """Plays one seed; returns the world after it."""
-        world = World(seed, instances, faults=faults)
-        virtualtime.run(world.run, (crashwatch,))
-        return world
+    def simulate(
+        self, seed: int, instances: int, *, faults: bool = True
+    ) -> CrashSimulation:
+        """Simulates one seed; returns the simulation after it."""
+        simulation = CrashSimulation(seed, instances, faults=faults)
+        virtualtime.run(simulation.run, (crashwatch,))
+        return simulation
 
-    def check(self, world: World) -> None:
-        """Asserts what must hold whatever the seed."""
-        self.assertGreaterEqual(len(world.ends), BLOCKED_ENDS)
-        self.assertLessEqual(len(world.late), MOST_LATE)
-        self.assertEqual(world.blocked_innocents, set())
+    def check(self, simulation: CrashSimulation) -> None:
+        """Asserts what must hold for every seed."""
+        self.assertGreaterEqual(
+            len(simulation.crash_times), BLOCK_AFTER_CRASHES
+        )
+        self.assertLessEqual(len(simulation.late), MAX_LATE_SENDS)
+        self.assertEqual(simulation.blocked_innocents, set())
 
-    def test_calm_day(self) -> None:
+    def test_without_faults(self) -> None:
         for instances, seed in itertools.product((6, 30), range(4)):
             with self.subTest(instances=instances, seed=seed):
-                world = self.play(seed, instances, faults=False)
-                self.check(world)
-                self.assertEqual(world.late, [])
+                simulation = self.simulate(seed, instances, faults=False)
+                self.check(simulation)
+                self.assertEqual(simulation.late, [])
 
     def test_six_instances(self) -> None:
-        # Guards against a third end that some never hear of: words lost,
-        # homes killed or cut off, instances that start, all of them at once.
+        # Guards against a third crash that some instances never learn of:
+        # messages are lost, coordinators die or are partitioned, instances
+        # start, and all restart at once.
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                self.check(self.play(seed, 6))
+                self.check(self.simulate(seed, 6))
 
-    def test_one_that_was_beside_the_guilty_one_at_each_run(self) -> None:
-        # Guards against an innocent request that is blocked for a day: all of
-        # its four runs were beside the guilty one, whose first two ends went
-        # with the instances that had seen them.
-        self.check(self.play(282, 6))
+    def test_innocent_request_in_flight_at_every_crash(self) -> None:
+        # Guards against an innocent request that stays blocked for a day: it
+        # was beside the culprit in all of its four attempts, and the records of
+        # the culprit's first two crashes were lost with the instances that had
+        # them.
+        self.check(self.simulate(282, 6))
 
     def test_195_instances(self) -> None:
-        self.check(self.play(1, 195))
+        self.check(self.simulate(1, 195))
 
 
 def main() -> None:
-    """Plays many seeds: the count, then how many instances."""
+    """Simulates many seeds; arguments: how many, and how many instances."""
     seeds, instances = int(sys.argv[1]), int(sys.argv[2])
     bad = []
-    ends = []
+    crash_times = []
     refused = 0
     for seed in range(seeds):
-        world = World(seed, instances)
-        virtualtime.run(world.run, (crashwatch,))
-        ends.append(len(world.ends))
-        refused += world.refused
-        if len(world.late) > MOST_LATE or world.blocked_innocents:
-            bad.append((seed, world.ends, world.late, world.blocked_innocents))
+        simulation = CrashSimulation(seed, instances)
+        virtualtime.run(simulation.run, (crashwatch,))
+        crash_times.append(len(simulation.crash_times))
+        refused += simulation.refused
+        if (
+            len(simulation.late) > MAX_LATE_SENDS
+            or simulation.blocked_innocents
+        ):
+            bad.append(
+                (
+                    seed,
+                    simulation.crash_times,
+                    simulation.late,
+                    simulation.blocked_innocents,
+                )
+            )
     print(f"{seeds} seeds, {instances} instances: {len(bad)} bad {bad[:5]}")
-    print(f"ends {sorted(ends)}, innocents refused {refused}")
+    print(f"crashes {sorted(crash_times)}, innocents refused {refused}")
 
 
 if __name__ == "__main__":
