--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -1,7 +1,8 @@
-"""Keeps the limits that servers name, over all instances together.
+"""Enforces the rate limits of servers over all instances together.
 
-One word a server tells all instances of a limit when it is first named, changes
-or ends; asks and grants go between an instance and the server's home.
+A limit is broadcast to all instances when a server first states it, changes it
+or ends it. Requests for grants and the grants are exchanged between an instance
+and the server's coordinator.
 """
 
 import collections
@@ -25,69 +26,79 @@
     NamedLimit,
 )
 from jasminerelay.serverlimits import (
-    MS,
+    FLEET_SIZE_WINDOW_S,
+    MS_PER_S,
     NO_LIMIT,
-    SPAN_S,
     Allowance,
-    Lender,
-    Want,
+    Demand,
+    GrantIssuer,
 )
 
 TICK_S = 0.05
-"""How often grants are asked for and lent. They come one by one, so this is
-what a request waits longer than it must."""
+"""Interval at which grants are requested and issued. As grants come one by one,
+it is also the delay that a limit adds to a request."""
 
-TELL_S = 0.1
-"""How often limits that are new are told."""
+BROADCAST_INTERVAL_S = 0.1
+"""Interval at which new limits are broadcast."""
 
-MOST_TOLD = 20
+MAX_LIMITS_PER_MESSAGE = 20
 """Limits in one datagram, some 60 bytes each; it must fit into a frame."""
 
-MOST_HOMES = 4
-"""Servers' homes that an instance asks in one round. With more it would get
-grants at several servers for one request, and let most of them lapse."""
+MAX_COORDINATORS_PER_ROUND = 4
+"""Coordinators from which an instance requests grants in one round. With more
+of them it would get grants for several servers per request, and let most
+expire."""
 
 
 class LimitWatch:
-    """One instance's part; owns its allowance, and tells by `send`."""
+    """Exchanges limits and grants between this instance and the others.
+
+    Attributes:
+        allowance: Limits, and the grants that this instance holds.
+        placer: Returns the instance that places requests on a server, if any.
+        send: Sends a message to an instance, without confirmation.
+        on_grant: Called when requests may be sent to more servers than before.
+    """
 
     def __init__(
         self,
         own: str,
-        known: Callable[[str], bool],
+        is_known: Callable[[str], bool],
         counters: Counters,
         log: EventLog,
         rng: random.Random,
     ):
-        """Makes the part of an instance that knows of no limit.
+        """Creates a watch without limits.
 
         Args:
-            own: This instance.
-            known: Says whether a server is known here; limits of others are
-                passed over.
-            counters: Counts events.
-            log: Takes events.
+            own: ID of this instance.
+            is_known: Returns whether a server is registered; limits of others
+                are ignored.
+            counters: Receives counts of events.
+            log: Receives events.
             rng: Source of random choices.
         """
         self.allowance = Allowance()
         self._own = own
-        self._known = known
+        self._is_known = is_known
         self._counters = counters
         self._log = log
         self._rng = rng
-        self._epidemic = EpidemicBroadcast(rng)
-        self._lenders: dict[str, Lender] = {}
-        self._homes: dict[str, str | None] = {}
+        self._broadcast = EpidemicBroadcast(rng)
+        self._issuers: dict[str, GrantIssuer] = {}
+        self._coordinators: dict[str, str | None] = {}
         self._names: tuple[str, ...] = (own,)
         self._members: dict[str, Member] = {}
-        self._sizes: collections.deque[tuple[float, int]] = collections.deque()
-        self._there_are = anyio.Event()
+        self._fleet_sizes: collections.deque[tuple[float, int]] = (
+            collections.deque()
+        )
+        self._limits_present = anyio.Event()
         self.placer: Callable[[str], str | None] = lambda server: None
-        self.send: Callable[[Member, LimitWord], None] = lambda to, word: None
+        self.send: Callable[[Member, LimitWord], None] = lambda to, _: None
         self.on_grant: Callable[[], None] = lambda: None
 
     def heard(self, server: str, head: Head) -> None:
-        """Takes the head of a server's answer to a request of this instance."""
+        """Handles the response head of a server to this instance's request."""
         if head.limit_fault:
             self._counters.incr("limit.unreadable")
             self._log.trouble(
@@ -95,78 +106,81 @@
             )
         rate = NO_LIMIT if head.limit is None else head.limit
         if rate == NO_LIMIT and head.not_run:
-            # What rejects a request may be another than what names limits.
+            # Whatever rejected the request may not be what states the limits.
             return
-        self._take(server, rate, time.monotonic(), "server")
+        self._record_limit(server, rate, time.monotonic(), "server")
 
-    def hear(self, word: LimitWord) -> None:
-        """Takes another instance's word."""
+    def hear(self, message: LimitWord) -> None:
+        """Handles a message of another instance."""
         now = time.monotonic()
-        for item in word.limits:
-            at = now - item.age_ms / MS
-            self._take(item.server, item.rate, at, word.sender)
-        for ask in word.asks:
-            lender = self._lenders.get(ask.server)
-            if lender is not None:
-                lender.ask(word.sender, ask.rank, ask.count, now)
-        if word.grants:
-            self._take_grants(word.grants, now)
+        for item in message.limits:
+            at = now - item.age_ms / MS_PER_S
+            self._record_limit(item.server, item.rate, at, message.sender)
+        for request in message.asks:
+            issuer = self._issuers.get(request.server)
+            if issuer is not None:
+                issuer.request(message.sender, request.rank, request.count, now)
+        if message.grants:
+            self._accept_grants(message.grants, now)
 
     def gone(self, server: str) -> None:
-        """Forgets a server that has ended."""
+        """Removes a stopped server."""
         self.allowance.forget(server)
-        self._lenders.pop(server, None)
+        self._issuers.pop(server, None)
 
     def saw_instances(
         self, live: Sequence[Member], known: int, now: float
     ) -> None:
-        """Notes the instances there are.
+        """Updates the list of instances.
 
         Args:
-            live: Those that take callers.
-            known: How many are known, failed ones included.
-            now: Steady time.
+            live: Instances that accept client connections.
+            known: Number of known instances, including failed ones.
+            now: Monotonic time.
         """
-        self._sizes.append((now, max(1, known)))
-        while self._sizes[0][0] < now - SPAN_S:
-            self._sizes.popleft()
+        self._fleet_sizes.append((now, max(1, known)))
+        while self._fleet_sizes[0][0] < now - FLEET_SIZE_WINDOW_S:
+            self._fleet_sizes.popleft()
         self._members = {member.instance: member for member in live}
-        # Not this one while it leaves: the others do not ask it any more, and
-        # what it lent itself would come on top of what another home lends.
+        # Excludes this instance while it shuts down: the others no longer
+        # request grants from it, and grants that it issued to itself would add
+        # to those of the next coordinator.
         names = tuple(sorted(self._members)) or (self._own,)
         if names != self._names:
             self._names = names
-            self._homes.clear()
+            self._coordinators.clear()
 
     async def run(self) -> None:
-        """Asks, lends and tells until cancelled."""
-        told = 0.0
+        """Requests, issues and broadcasts at intervals, forever."""
+        broadcast_at = 0.0
         while True:
             if not self.allowance:
-                self._there_are = anyio.Event()
-                await self._there_are.wait()
+                self._limits_present = anyio.Event()
+                await self._limits_present.wait()
             await anyio.sleep(TICK_S)
             now = time.monotonic()
             self.tick(now)
-            if now - told >= TELL_S:
-                told = now
-                self._tell_news(now)
+            if now - broadcast_at >= BROADCAST_INTERVAL_S:
+                broadcast_at = now
+                self._broadcast_limits(now)
 
     def tick(self, now: float) -> None:
-        """Asks for what is wanted here, and lends what may be lent."""
+        """Requests grants for the demand here, and issues those due."""
         self.allowance.expire(now)
-        self._ask(now)
-        self._lend(now)
+        self._request_grants(now)
+        self._issue_grants(now)
 
-    def _take(self, server: str, rate: float, at: float, source: str) -> None:
-        # Others may not have heard yet that a server has ended. Taken from
-        # them again, and told on, its limit would go round for good.
-        if not self._known(server):
+    def _record_limit(
+        self, server: str, rate: float, at: float, source: str
+    ) -> None:
+        # Other instances may not have noticed yet that a server has stopped. A
+        # limit accepted from them and broadcast again would circulate forever.
+        if not self._is_known(server):
             return
-        if not self.allowance.named(server, rate, at):
+        if not self.allowance.record(server, rate, at):
             return
-        self._epidemic.add(server)
-        self._there_are.set()
+        self._broadcast.add(server)
+        self._limits_present.set()
         self._counters.incr("limit.named" if rate >= 0 else "limit.ended")
         self._log.trouble(
             "limit",
@@ -176,94 +190,96 @@
             source=source,
         )
         if rate == NO_LIMIT:
-            self._lenders.pop(server, None)
+            self._issuers.pop(server, None)
             self.on_grant()
 
-    def _take_grants(self, grants: Sequence[LimitGrant], now: float) -> None:
+    def _accept_grants(self, grants: Sequence[LimitGrant], now: float) -> None:
         for grant in grants:
             self._counters.incr("limit.granted")
-            self.allowance.lend(
+            self.allowance.add_grant(
                 grant.server, grant.count, trial=grant.trial, now=now
             )
         self.on_grant()
 
-    def _home(self, server: str) -> str | None:
-        if server not in self._homes:
-            owner = rendezvous.owner(server, self._names)
-            self._homes[server] = owner
-        return self._homes[server]
+    def _coordinator_of(self, server: str) -> str | None:
+        if server not in self._coordinators:
+            coordinator = rendezvous.owner(server, self._names)
+            self._coordinators[server] = coordinator
+        return self._coordinators[server]
 
-    def _ask(self, now: float) -> None:
-        wants = list(self.allowance.wants(now).items())
-        if len(wants) > MOST_HOMES:
-            wants = self._rng.sample(wants, MOST_HOMES)
+    def _request_grants(self, now: float) -> None:
+        demands = list(self.allowance.demands(now).items())
+        if len(demands) > MAX_COORDINATORS_PER_ROUND:
+            demands = self._rng.sample(demands, MAX_COORDINATORS_PER_ROUND)
         asks: dict[str, list[LimitAsk]] = {}
-        for server, want in wants:
-            ask = self._ask_of(server, want)
-            home = self._home(server)
-            if home == self._own:
-                self._lender(server, now).ask(
-                    self._own, ask.rank, ask.count, now
+        for server, demand in demands:
+            request = self._grant_request(server, demand)
+            coordinator = self._coordinator_of(server)
+            if coordinator == self._own:
+                self._issuer_for(server, now).request(
+                    self._own, request.rank, request.count, now
                 )
-            elif home in self._members:
-                asks.setdefault(home, []).append(ask)
-        for home, items in asks.items():
-            self.send(self._members[home], LimitWord(self._own, [], items, []))
+            elif coordinator in self._members:
+                asks.setdefault(coordinator, []).append(request)
+        for coordinator, items in asks.items():
+            self.send(
+                self._members[coordinator], LimitWord(self._own, [], items, [])
+            )
 
-    def _ask_of(self, server: str, want: Want) -> LimitAsk:
+    def _grant_request(self, server: str, demand: Demand) -> LimitAsk:
         rate = self.allowance.limits[server]
         count = max(1, math.ceil(rate * TICK_S))
-        return LimitAsk(server, want.rank, count)
+        return LimitAsk(server, demand.rank, count)
 
-    def _lend(self, now: float) -> None:
-        share = self._share()
+    def _issue_grants(self, now: float) -> None:
+        share = self._fleet_share()
         found: dict[str, list[LimitGrant]] = {}
         for server, rate in self.allowance.limits.items():
-            if self._home(server) != self._own:
-                self._lenders.pop(server, None)
+            if self._coordinator_of(server) != self._own:
+                self._issuers.pop(server, None)
                 continue
-            lender = self._lender(server, now)
-            lender.refill(rate * share, now)
-            if lender.trial_due(now):
+            issuer = self._issuer_for(server, now)
+            issuer.refill(rate * share, now)
+            if issuer.trial_due(now):
                 name = self.placer(server) or self._rng.choice(self._names)
                 found.setdefault(name, []).append(LimitGrant(server, 1, True))
-            for name, count in lender.grants(now).items():
+            for name, count in issuer.grants(now).items():
                 found.setdefault(name, []).append(
                     LimitGrant(server, count, False)
                 )
         for name, grants in found.items():
             if name == self._own:
-                self._take_grants(grants, now)
+                self._accept_grants(grants, now)
             elif name in self._members:
                 self.send(
                     self._members[name], LimitWord(self._own, [], [], grants)
                 )
 
-    def _lender(self, server: str, now: float) -> Lender:
-        lender = self._lenders.get(server)
-        if lender is None:
-            lender = self._lenders[server] = Lender(now)
-        return lender
+    def _issuer_for(self, server: str, now: float) -> GrantIssuer:
+        issuer = self._issuers.get(server)
+        if issuer is None:
+            issuer = self._issuers[server] = GrantIssuer(now)
+        return issuer
 
-    def _share(self) -> float:
-        """Returns the part of a limit that the instances seen here may use."""
+    def _fleet_share(self) -> float:
+        """Returns the fraction of a limit for the instances reachable here."""
         live = len(self._names)
-        most = max((size for _, size in self._sizes), default=live)
+        most = max((size for _, size in self._fleet_sizes), default=live)
         return min(1.0, live / max(live, most))
 
-    def _tell_news(self, now: float) -> None:
+    def _broadcast_limits(self, now: float) -> None:
         others = [x for x in self._members.values() if x.instance != self._own]
-        told, names = self._epidemic.next_round(others)
-        words = self.allowance.words(now)
-        self._tell(told, [x for x in words if x.server in names])
-        member = self._epidemic.resync_target(others)
+        targets, names = self._broadcast.next_round(others)
+        limits = self.allowance.to_messages(now)
+        self._send_limits(targets, [x for x in limits if x.server in names])
+        member = self._broadcast.resync_target(others)
         if member is not None:
-            self._tell([member], words)
+            self._send_limits([member], limits)
 
-    def _tell(
-        self, members: Sequence[Member], words: Sequence[NamedLimit]
+    def _send_limits(
+        self, members: Sequence[Member], limits: Sequence[NamedLimit]
     ) -> None:
-        for start in range(0, len(words), MOST_TOLD):
-            part = list(words[start : start + MOST_TOLD])
+        for start in range(0, len(limits), MAX_LIMITS_PER_MESSAGE):
+            part = list(limits[start : start + MAX_LIMITS_PER_MESSAGE])
             for member in members:
                 self.send(member, LimitWord(self._own, part, [], []))
--- a/src/jasminerelay/serverlimits.py
+++ b/src/jasminerelay/serverlimits.py
@@ -1,11 +1,11 @@
-"""Limits that backend servers name for all instances together.
-
-Pure. A server in need says in its answers how many requests a second it takes.
-One instance, its home by rendezvous hashing, lends grants to send, one request
-at a time and at that rate, to whoever has requests that find no place at other
-servers, the first rank first. A grant lapses when it is not used at once, so
-what a dead, frozen or cut off instance holds is never more than a moment's
-worth.
+"""Rate limits that backend servers set for all instances together.
+
+Without I/O. An overloaded server states in its responses how many requests per
+second it accepts. One instance, the server's coordinator by rendezvous hashing,
+issues grants at that rate, each for one request, to the instances with requests
+that no other server can take, the most urgent rank first. A grant expires
+unless it is used at once, so that an instance that is dead, frozen or
+partitioned holds no more grants than a fraction of a second's worth.
 """
 
 import dataclasses
@@ -13,44 +13,51 @@
 from jasminerelay.schema.messages import NamedLimit
 
 NO_LIMIT = -1.0
-MS = 1e3
+MS_PER_S = 1e3
 
-GRANT_LIFE_S = 0.5
-"""How long a grant to send counts. Those who ask have requests that wait."""
+GRANT_TTL_S = 0.5
+"""Lifetime of a grant. The instances that request grants have requests
+queued."""
 
-TRIAL_LIFE_S = 2.0
-"""The same where the next request that comes is to be sent."""
+TRIAL_GRANT_TTL_S = 2.0
+"""Lifetime of a trial grant, which the next request to arrive uses."""
 
-ASK_LIFE_S = 0.3
-"""How long an instance's ask counts; it is repeated while its requests wait."""
+REQUEST_TTL_S = 0.3
+"""Lifetime of an instance's request for grants; it is repeated while its
+requests are queued."""
 
-WANT_LIFE_S = 0.15
-"""How long a request's vain look for a place counts; it looks more often."""
+DEMAND_TTL_S = 0.15
+"""How long a failed attempt to place a request counts as demand; placement is
+attempted again within that time."""
 
 BURST_S = 0.25
-"""Grants that may be saved up, in seconds' worth at the named rate: the time
-between two rounds of asks and more, so that no grant is lost between them."""
+"""Grants that may accumulate, in seconds at the server's rate: more than the
+time between two rounds of requests, so that no grant is lost between them."""
 
-TRIAL_AFTER_S = 3.0
-TRIAL_AT_LAST_S = 30.0
-"""How often one request is sent to hear whether the limit holds; and the same
-where the rate would not allow it for longer."""
+TRIAL_INTERVAL_S = 3.0
+"""Interval at which one request is sent to see whether the limit still
+holds."""
 
-SPAN_S = 10.0
-"""How long instances that were known count for a home's share. A part that is
-cut off lends by its share of all, so that two homes never lend twice."""
+MAX_TRIAL_INTERVAL_S = 30.0
+"""Interval at which a trial is sent even if the rate does not allow for it."""
 
-TOMB_LIFE_S = 60.0
-"""How long the end of a limit is remembered: late words name it still."""
+FLEET_SIZE_WINDOW_S = 10.0
+"""How long instances that were known count for a coordinator's share. A
+partition grants its share of the whole fleet, so that the coordinators on both
+sides together do not exceed the rate."""
+
+TOMBSTONE_TTL_S = 60.0
+"""How long the end of a limit is remembered, since late messages still contain
+the limit."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Named:
-    """What a server has said.
+class _StatedLimit:
+    """A limit as last stated by a server.
 
     Attributes:
-        rate: Requests a second; `NO_LIMIT` for no limit any more.
-        at: Steady time at which it was said.
+        rate: Requests per second; `NO_LIMIT` if the limit has ended.
+        at: Monotonic time of the server's response.
     """
 
     rate: float
@@ -59,26 +66,26 @@
 
 @dataclasses.dataclass
 class _Grant:
-    """Requests that may be sent.
+    """Requests that may be sent to a server.
 
     Attributes:
-        count: Requests.
-        until: Steady time until which it counts.
-        trial: Whether one is to be sent soon.
+        count: Number of requests left.
+        expires_at: Monotonic time at which the grant expires.
+        trial: Whether the next request should be sent, to test the limit.
     """
 
     count: int
-    until: float
+    expires_at: float
     trial: bool
 
 
 @dataclasses.dataclass(frozen=True)
-class Want:
-    """Requests that find no place but at a server with a limit.
+class Demand:
+    """Requests that only a limited server could take.
 
     Attributes:
-        rank: The first rank among them.
-        at: Steady time of the last look.
+        rank: The most urgent rank among them.
+        at: Monotonic time of the last failed placement.
     """
 
     rank: int
@@ -86,121 +93,130 @@
 
 
 class Allowance:
-    """What an instance knows of servers' limits, and may send there.
+    """Limits of servers, and the grants that this instance holds for them.
 
     Example:
         >>> allowance = Allowance()
-        >>> allowance.named("s", 2.0, 0.0)
+        >>> allowance.record("s", 2.0, 0.0)
         True
         >>> allowance.may_send("s", 0.0), allowance.may_send("other", 0.0)
         (False, True)
-        >>> allowance.lend("s", 1, trial=False, now=0.0)
+        >>> allowance.add_grant("s", 1, trial=False, now=0.0)
         >>> allowance.may_send("s", 0.1), allowance.may_send("s", 1.0)
         (True, False)
     """
 
     def __init__(self) -> None:
-        self._named: dict[str, _Named] = {}
-        self._limited: dict[str, float] = {}
+        self._limits_by_server: dict[str, _StatedLimit] = {}
+        self._rates: dict[str, float] = {}
         self._grants: dict[str, list[_Grant]] = {}
-        self._wants: dict[str, Want] = {}
+        self._demands: dict[str, Demand] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._named)
+        return bool(self._limits_by_server)
 
     @property
     def limits(self) -> dict[str, float]:
-        """Rates by server, of those that have a limit."""
-        return self._limited
+        """Requests per second by server, of the servers that have a limit."""
+        return self._rates
 
     def limited(self, server: str) -> bool:
         """Returns whether a server has a limit."""
-        return server in self._limited
+        return server in self._rates
 
-    def named(self, server: str, rate: float, at: float) -> bool:
-        """Takes what a server says, or has said to another instance.
+    def record(self, server: str, rate: float, at: float) -> bool:
+        """Records a limit stated by a server to this or another instance.
 
         Args:
             server: The server.
-            rate: Requests a second; `NO_LIMIT` for none.
-            at: Steady time at which it was said.
+            rate: Requests per second; `NO_LIMIT` for none.
+            at: Monotonic time of the server's response.
 
         Returns:
-            Whether it changes what is known.
+            Whether the limit is new or has changed.
         """
-        held = self._named.get(server)
+        held = self._limits_by_server.get(server)
         if held is None and rate == NO_LIMIT:
             return False
         if held is not None and held.at >= at:
             return False
-        self._named[server] = _Named(rate, at)
+        self._limits_by_server[server] = _StatedLimit(rate, at)
         if rate == NO_LIMIT:
-            self._limited.pop(server, None)
+            self._rates.pop(server, None)
             self._grants.pop(server, None)
         else:
-            self._limited[server] = rate
+            self._rates[server] = rate
         return held is None or held.rate != rate
 
-    def words(self, now: float) -> list[NamedLimit]:
-        """Returns what is known, as it travels."""
+    def to_messages(self, now: float) -> list[NamedLimit]:
+        """Returns all limits, including ended ones, as messages."""
         return [
-            NamedLimit(server, held.rate, max(0, round(MS * (now - held.at))))
-            for server, held in self._named.items()
+            NamedLimit(
+                server, held.rate, max(0, round(MS_PER_S * (now - held.at)))
+            )
+            for server, held in self._limits_by_server.items()
         ]
 
     def forget(self, server: str) -> None:
-        """Drops a server that has ended; a new start has no limit."""
-        for held in (self._named, self._limited, self._grants, self._wants):
+        """Removes a stopped server; after a restart it has no limit."""
+        for held in (
+            self._limits_by_server,
+            self._rates,
+            self._grants,
+            self._demands,
+        ):
             held.pop(server, None)
 
     def expire(self, now: float) -> None:
-        """Drops the memory of limits that ended long ago."""
-        for server, held in list(self._named.items()):
-            if held.rate == NO_LIMIT and now - held.at > TOMB_LIFE_S:
-                del self._named[server]
-
-    def lend(self, server: str, count: int, *, trial: bool, now: float) -> None:
-        """Takes a grant to send requests to a server."""
-        life_s = TRIAL_LIFE_S if trial else GRANT_LIFE_S
-        grant = _Grant(count, now + life_s, trial)
+        """Drops tombstones of limits that ended long ago."""
+        for server, held in list(self._limits_by_server.items()):
+            if held.rate == NO_LIMIT and now - held.at > TOMBSTONE_TTL_S:
+                del self._limits_by_server[server]
+
+    def add_grant(
+        self, server: str, count: int, *, trial: bool, now: float
+    ) -> None:
+        """Adds a grant to send requests to a server."""
+        ttl_s = TRIAL_GRANT_TTL_S if trial else GRANT_TTL_S
+        grant = _Grant(count, now + ttl_s, trial)
         self._grants.setdefault(server, []).append(grant)
 
     def may_send(self, server: str, now: float) -> bool:
         """Returns whether a request may be sent to a server now."""
-        return not self.limited(server) or bool(self._held(server, now))
+        return not self.limited(server) or bool(self._valid_grants(server, now))
 
     def on_trial(self, server: str, now: float) -> bool:
-        """Returns whether the next request should be sent to a server."""
-        return any(grant.trial for grant in self._held(server, now))
+        """Returns whether this instance holds a trial grant for a server."""
+        return any(grant.trial for grant in self._valid_grants(server, now))
 
     def spend(self, server: str, now: float) -> None:
-        """Notes that a request is sent to a server."""
-        grants = self._held(server, now)
+        """Uses up a grant, if any, as a request is sent to a server."""
+        grants = self._valid_grants(server, now)
         if grants:
-            first = min(grants, key=lambda grant: grant.until)
+            first = min(grants, key=lambda grant: grant.expires_at)
             first.count -= 1
 
     def want(self, server: str, rank: int, now: float) -> None:
-        """Notes that a request would go to a server if it might."""
-        held = self._wants.get(server)
-        if held is not None and now - held.at < WANT_LIFE_S:
+        """Records a request that only a limited server could take."""
+        held = self._demands.get(server)
+        if held is not None and now - held.at < DEMAND_TTL_S:
             rank = min(rank, held.rank)
-        self._wants[server] = Want(rank, now)
-
-    def wants(self, now: float) -> dict[str, Want]:
-        """Returns what is wanted now, by server."""
-        self._wants = {
-            server: want
-            for server, want in self._wants.items()
-            if now - want.at < WANT_LIFE_S and self.limited(server)
+        self._demands[server] = Demand(rank, now)
+
+    def demands(self, now: float) -> dict[str, Demand]:
+        """Returns the current demand, by server."""
+        self._demands = {
+            server: demand
+            for server, demand in self._demands.items()
+            if now - demand.at < DEMAND_TTL_S and self.limited(server)
         }
-        return self._wants
+        return self._demands
 
-    def _held(self, server: str, now: float) -> list[_Grant]:
+    def _valid_grants(self, server: str, now: float) -> list[_Grant]:
         grants = [
             grant
             for grant in self._grants.get(server, ())
-            if grant.count > 0 and grant.until > now
+            if grant.count > 0 and grant.expires_at > now
         ]
         if grants:
             self._grants[server] = grants
@@ -210,76 +226,81 @@
 
 
 @dataclasses.dataclass
-class _Ask:
+class _GrantRequest:
     rank: int
     count: int
-    until: float
+    expires_at: float
 
 
-class Lender:
-    """A server's home: lends grants at the rate that the server has named.
+class GrantIssuer:
+    """Issues a server's grants at the rate that the server accepts.
 
-    A new home has nothing to lend at first, since the one before may have lent
-    just now.
+    Starts without tokens: the previous coordinator may just have issued grants.
     """
 
     def __init__(self, now: float):
-        """Makes a home that has lent nothing.
+        """Creates an issuer without tokens.
 
         Args:
-            now: Steady time.
+            now: Monotonic time.
         """
         self._tokens = 0.0
-        self._at = now
-        self._trial_at = now
-        self._asks: dict[str, _Ask] = {}
-        self._lent_at: dict[str, float] = {}
+        self._refilled_at = now
+        self._last_trial_at = now
+        self._requests: dict[str, _GrantRequest] = {}
+        self._last_grant_at: dict[str, float] = {}
 
-    def ask(self, instance: str, rank: int, count: int, now: float) -> None:
-        """Takes an instance's ask, which replaces its last one."""
-        self._asks[instance] = _Ask(rank, count, now + ASK_LIFE_S)
+    def request(self, instance: str, rank: int, count: int, now: float) -> None:
+        """Records an instance's request, in place of its previous one."""
+        self._requests[instance] = _GrantRequest(
+            rank, count, now + REQUEST_TTL_S
+        )
 
     def refill(self, rate: float, now: float) -> None:
-        """Gains what may be lent.
+        """Adds the tokens gained since the last call.
 
         Args:
-            rate: Requests a second of all instances that ask here.
-            now: Steady time.
+            rate: Requests per second for all instances that this issuer serves.
+            now: Monotonic time.
         """
-        gained = max(0.0, now - self._at) * rate
-        self._at = now
-        self._tokens = min(max(1.0, BURST_S * rate), self._tokens + gained)
+        new_tokens = max(0.0, now - self._refilled_at) * rate
+        self._refilled_at = now
+        self._tokens = min(max(1.0, BURST_S * rate), self._tokens + new_tokens)
 
     def grants(self, now: float) -> dict[str, int]:
         """Returns how many requests each instance may send now."""
-        self._asks = {
-            name: ask for name, ask in self._asks.items() if ask.until > now
+        self._requests = {
+            name: request
+            for name, request in self._requests.items()
+            if request.expires_at > now
         }
         found: dict[str, int] = {}
-        while self._tokens >= 1 and self._asks:
-            name = min(self._asks, key=self._turn)
-            ask = self._asks[name]
-            ask.count -= 1
-            if ask.count <= 0:
-                del self._asks[name]
-            self._lent_at[name] = now
+        while self._tokens >= 1 and self._requests:
+            name = min(self._requests, key=self._priority)
+            request = self._requests[name]
+            request.count -= 1
+            if request.count <= 0:
+                del self._requests[name]
+            self._last_grant_at[name] = now
             found[name] = found.get(name, 0) + 1
             self._tokens -= 1
         return found
 
     def trial_due(self, now: float) -> bool:
-        """Returns whether to have a request sent, whoever asks.
+        """Returns whether to issue a trial grant, even without a request.
 
-        What was lent may have lapsed, so that no answer comes by which
-        the end of the limit would show.
+        Grants may have expired unused, so that no response would show the end
+        of the limit.
         """
-        since_s = now - self._trial_at
-        due = since_s >= TRIAL_AFTER_S and self._tokens >= 1
-        if not due and since_s < TRIAL_AT_LAST_S:
+        elapsed_s = now - self._last_trial_at
+        due = elapsed_s >= TRIAL_INTERVAL_S and self._tokens >= 1
+        if not due and elapsed_s < MAX_TRIAL_INTERVAL_S:
             return False
         self._tokens = max(0.0, self._tokens - 1)
-        self._trial_at = now
+        self._last_trial_at = now
         return True
 
-    def _turn(self, name: str) -> tuple[int, float]:
-        return self._asks[name].rank, self._lent_at.get(name, float("-inf"))
+    def _priority(self, name: str) -> tuple[int, float]:
+        return self._requests[name].rank, self._last_grant_at.get(
+            name, float("-inf")
+        )
--- a/tests/limitworld.py
+++ b/tests/limitworld.py
@@ -1,4 +1,4 @@
-"""Several instances and servers that name limits, without sockets."""
+"""Simulates instances and servers with rate limits, without sockets."""
 
 import anyio
 
@@ -7,31 +7,32 @@
 from jasminerelay.limitwatch import LimitWatch
 from tests.instanceworld import InstanceWorld, Node, Quiet
 
-IN_TOUCH_S = 3.0
-"""Time in which instances that others can reach must know a limit."""
+PROPAGATION_S = 3.0
+"""Time after which every connected instance must have learnt of a limit."""
 
-NAMED_AT_S = 2.0
-AFTER_S = 10.0
-"""Time after the limits' end in which all instances must know of it."""
+LIMITED_FROM_S = 2.0
+CLEARED_AFTER_S = 10.0
+"""Time after the end of the limits by which all instances must know of it."""
 
-LOOK_S = 0.03
-SEE_S = 0.25
-ANSWER_S = 0.05
-KNOWN_S = serverlimits.SPAN_S
-"""How long a dead instance is known."""
+SEND_INTERVAL_S = 0.03
+MEMBERSHIP_INTERVAL_S = 0.25
+RESPONSE_S = 0.05
+DEAD_KNOWN_S = serverlimits.FLEET_SIZE_WINDOW_S
+"""How long a dead instance counts as known."""
 
-SPAN_S = 4.0
-MOST_SHARE = 1.5
-MOST_BESIDE = 5
+WINDOW_S = 4.0
+MAX_RATE_FACTOR = 1.5
+MAX_EXCESS = 5
 
 
-class World(InstanceWorld):
-    """Plays one seed: more requests than the servers take, all the time.
+class LimitSimulation(InstanceWorld):
+    """Simulates one seed, with constantly more requests than servers accept.
 
     Attributes:
-        arrivals: Times at which requests of instances in touch reached each
+        arrivals: Times at which requests of connected instances reached each
             server.
-        rates: What each server names.
+        rates: Rate limit of each server.
+        limits_left: Instances that still have limits at the end.
     """
 
     most_delay_s = 0.03
@@ -44,48 +45,48 @@
         rates: tuple[float, ...],
         *,
         faults: bool = True,
-        ended_at: float = 22.0,
+        limited_until: float = 22.0,
     ):
         super().__init__(seed, instances, faults=faults)
-        self._ended_at = ended_at
+        self._limited_until = limited_until
         self.rates = {f"s{n}": rate for n, rate in enumerate(rates)}
         self.arrivals: dict[str, list[float]] = {x: [] for x in self.rates}
-        self.limited_at_end = 0
+        self.limits_left = 0
 
     async def run(self) -> None:
-        """Plays the day."""
+        """Runs the simulation."""
         async with anyio.create_task_group() as group:
             self.group = group
             for _ in range(self.count):
                 self.start_node()
-            group.start_soon(self._see)
-            group.start_soon(self._send_all)
+            group.start_soon(self._update_membership)
+            group.start_soon(self._send_requests)
             if self.faults:
-                group.start_soon(self.disturb, self._ended_at)
-            await anyio.sleep(self._ended_at + AFTER_S)
-            self.limited_at_end = sum(
+                group.start_soon(self.disturb, self._limited_until)
+            await anyio.sleep(self._limited_until + CLEARED_AFTER_S)
+            self.limits_left = sum(
                 bool(node.watch.allowance.limits) for node in self.alive
             )
             group.cancel_scope.cancel()
 
-    def most(self, server: str) -> int:
-        """Returns the most requests that a server got in any span."""
+    def max_in_window(self, server: str) -> int:
+        """Returns the highest number of requests to a server in any window."""
         times = self.arrivals[server]
         return max(
-            (sum(at <= x < at + SPAN_S for x in times) for at in times),
+            (sum(at <= x < at + WINDOW_S for x in times) for at in times),
             default=0,
         )
 
-    def allowed(self, server: str) -> float:
-        """Returns how many it may get."""
-        return MOST_SHARE * SPAN_S * self.rates[server] + MOST_BESIDE
+    def max_allowed(self, server: str) -> float:
+        """Returns the number of requests that a server may get in a window."""
+        return MAX_RATE_FACTOR * WINDOW_S * self.rates[server] + MAX_EXCESS
 
-    def named(self) -> bool:
-        """Returns whether the servers name their limits now."""
-        return NAMED_AT_S <= anyio.current_time() < self._ended_at
+    def limits_active(self) -> bool:
+        """Returns whether the servers state their limits now."""
+        return LIMITED_FROM_S <= anyio.current_time() < self._limited_until
 
     def make(self, name: str) -> LimitWatch:
-        """Makes the program's part of a new instance."""
+        """Returns the limit watch of a new instance."""
         return LimitWatch(
             name, self.rates.__contains__, Quiet(), Quiet(), self.rng
         )
@@ -94,44 +95,47 @@
         """Runs an instance until it is cancelled."""
         await node.watch.run()
 
-    async def _send_all(self) -> None:
-        """Has requests at a few instances at any time, with all servers."""
+    async def _send_requests(self) -> None:
+        """Sends requests for all servers from a few instances at a time."""
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(SEND_INTERVAL_S)
             now = anyio.current_time()
             busy = self.rng.sample(self.alive, min(8, len(self.alive)))
             for node in busy:
                 for server in self.rates:
-                    self._try(node, server, now)
+                    self._send_or_wait(node, server, now)
 
-    async def _see(self) -> None:
-        """Shows each instance the others."""
+    async def _update_membership(self) -> None:
+        """Updates each instance's list of the others."""
         while True:
             now = anyio.current_time()
             for node in self.alive:
-                known = self._known(node)
+                known = self._known_count(node)
                 node.watch.saw_instances(self.members(node), known, now)
-            await anyio.sleep(SEE_S)
+            await anyio.sleep(MEMBERSHIP_INTERVAL_S)
 
-    def _known(self, node: Node) -> int:
-        return sum(x.alive or self.dead_s(x) < KNOWN_S for x in self.nodes)
+    def _known_count(self, node: Node) -> int:
+        return sum(x.alive or self.dead_s(x) < DEAD_KNOWN_S for x in self.nodes)
 
-    def _try(self, node: Node, server: str, now: float) -> None:
+    def _send_or_wait(self, node: Node, server: str, now: float) -> None:
         allowance = node.watch.allowance
         if not allowance.may_send(server, now):
             allowance.want(server, self.rng.randrange(3), now)
             return
-        if not self.named() and self.rng.random() > 0.2:
+        if not self.limits_active() and self.rng.random() > 0.2:
             return
         allowance.spend(server, now)
-        in_touch = node.in_touch(now, IN_TOUCH_S)
-        if NAMED_AT_S + IN_TOUCH_S <= now < self._ended_at and in_touch:
+        connected = node.in_touch(now, PROPAGATION_S)
+        if (
+            LIMITED_FROM_S + PROPAGATION_S <= now < self._limited_until
+            and connected
+        ):
             self.arrivals[server].append(now)
-        limit = self.rates[server] if self.named() else None
-        self.group.start_soon(self._answer, node, server, limit)
+        limit = self.rates[server] if self.limits_active() else None
+        self.group.start_soon(self._respond, node, server, limit)
 
-    async def _answer(self, node: Node, server: str, limit) -> None:
-        await anyio.sleep(ANSWER_S)
+    async def _respond(self, node: Node, server: str, limit) -> None:
+        await anyio.sleep(RESPONSE_S)
         head = Head(200, (), False, "", False, None, False, limit)
         if node.alive:
             node.watch.heard(server, head)
--- a/tests/test_namedlimits.py
+++ b/tests/test_namedlimits.py
@@ -1,4 +1,4 @@
-"""Servers that name how many requests a second they take."""
+"""Servers that state how many requests per second they accept."""
 
 import time
 import unittest
@@ -10,28 +10,27 @@
 from standins.platformsite import SiteOptions
 from tests.platformcase import PlatformCase
 
-SPAN_S = 4.0
-KNOWN_S = 1.0
-"""Time after the first answer with a limit in which all instances know it."""
+WINDOW_S = 4.0
+PROPAGATION_S = 1.0
+"""Time after the first response with a limit by which all instances have it."""
 
-MOST_SHARE = 1.5
-MOST_BESIDE = 5
-"""Requests beside 1.5 times what the limit allows that a server may get in any
-four seconds."""
+MAX_RATE_FACTOR = 1.5
+MAX_EXCESS = 5
+"""Requests beyond 1.5 times the limit that a server may get in any window."""
 
-PAUSE_S = 0.03
+SEND_INTERVAL_S = 0.03
 
-ENDS_S = 8.0
-"""Time in which the end of a limit must be known."""
+CLEARED_AFTER_S = 8.0
+"""Time in which the end of a limit must be noticed."""
 
 
 class NamedLimitCase(PlatformCase):
     """Base of tests that send many requests at all instances."""
 
     async def send_for(self, instances, seconds: float, path: str) -> list:
-        """Sends requests at all instances in turn; returns the answers."""
+        """Sends requests at all instances in turn; returns the responses."""
         answers = []
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         number = 0
 
         async def send(instance, number: int) -> None:
@@ -47,103 +46,107 @@
             )
 
         async with anyio.create_task_group() as group:
-            while time.monotonic() < until:
+            while time.monotonic() < deadline:
                 number += 1
                 group.start_soon(
                     send, instances[number % len(instances)], number
                 )
-                await anyio.sleep(PAUSE_S)
+                await anyio.sleep(SEND_INTERVAL_S)
         return answers
 
-    def assert_kept(self, server, since: float, limit: float) -> None:
-        """Asserts that a server got what it takes, in any span."""
+    def assert_limit_kept(self, server, since: float, limit: float) -> None:
+        """Asserts that a server's limit was kept in any window."""
         times = [at for at in server.arrivals if at >= since]
-        most = max(
-            (sum(at <= x < at + SPAN_S for x in times) for at in times),
+        highest = max(
+            (sum(at <= x < at + WINDOW_S for x in times) for at in times),
             default=0,
         )
         self.assertLessEqual(
-            most, MOST_SHARE * SPAN_S * limit + MOST_BESIDE, server.name
+            highest,
+            MAX_RATE_FACTOR * WINDOW_S * limit + MAX_EXCESS,
+            server.name,
         )
 
 
 class NamedLimitTest(NamedLimitCase):
-    """Several instances and model servers, some of which name a limit."""
+    """Several instances and model servers, some with a limit."""
 
     options = SiteOptions(engines=3, plain=2)
 
-    async def test_all_instances_together_keep_to_it(self) -> None:
-        # Guards against a limit that nobody reads, or that each instance
-        # keeps to alone.
+    async def test_limit_holds_over_all_instances(self) -> None:
+        # Guards against a limit that is ignored, or that each instance applies
+        # on its own.
         async with self.site(4) as (site, instances):
             await self.until(lambda: all(x.peers_live == 4 for x in instances))
             limited = [site.servers["engine-1"], site.servers["engine-2"]]
             for server in limited:
                 server.faults.limit = b"2.0"
-            await self.send_for(instances, KNOWN_S, "/chat/c/stream")
+            await self.send_for(instances, PROPAGATION_S, "/chat/c/stream")
             since = time.monotonic()
             answers = await self.send_for(instances, 6.0, "/chat/c/stream")
         for server in limited:
-            self.assert_kept(server, since, 2.0)
+            self.assert_limit_kept(server, since, 2.0)
         served = sum(answer.status == 200 for answer in answers)
         self.assertGreater(served, 0.9 * len(answers))
 
     async def test_plain_servers(self) -> None:
-        # Guards against limits that hold for model servers only.
+        # Guards against limits that are enforced for model servers only.
         async with self.site(4) as (site, instances):
             await self.until(lambda: all(x.peers_live == 4 for x in instances))
             limited = site.servers["plain-1"]
             limited.faults.limit = b"2.0"
-            await self.send_for(instances, KNOWN_S, "/lookup/x")
+            await self.send_for(instances, PROPAGATION_S, "/lookup/x")
             since = time.monotonic()
             await self.send_for(instances, 5.0, "/lookup/x")
-        self.assert_kept(limited, since, 2.0)
+        self.assert_limit_kept(limited, since, 2.0)
 
-    async def test_owners_keep_to_it(self) -> None:
-        # Guards against requests that a cell's owner places by itself.
+    async def test_limit_holds_for_cell_owners(self) -> None:
+        # Guards against requests that a cell owner places without a grant.
         self.enterContext(unittest.mock.patch.object(asking, "OWNERS_FROM", 2))
-        await self.test_all_instances_together_keep_to_it()
+        await self.test_limit_holds_over_all_instances()
 
     async def test_limit_that_ends(self) -> None:
-        # Guards against a server that is left out for good, since so little
-        # is sent there that no answer tells of the end.
+        # Guards against a server that gets so few requests that no response
+        # shows the end of its limit.
         async with self.site(2) as (site, instances):
             await self.until(lambda: all(x.peers_live == 2 for x in instances))
             server = site.servers["plain-1"]
             server.faults.limit = b"0.4"
-            await self.send_for(instances, KNOWN_S, "/lookup/x")
+            await self.send_for(instances, PROPAGATION_S, "/lookup/x")
             server.faults.limit = b""
-            await self.send_for(instances, ENDS_S, "/lookup/x")
-            before = len(server.arrivals)
+            await self.send_for(instances, CLEARED_AFTER_S, "/lookup/x")
+            count_before = len(server.arrivals)
             answers = await self.send_for(instances, 1.0, "/lookup/x")
-            got = len(server.arrivals) - before
+            sent = len(server.arrivals) - count_before
         self.assertEqual({answer.status for answer in answers}, {200})
-        self.assertGreater(got, len(answers) / 4)
+        self.assertGreater(sent, len(answers) / 4)
 
 
 class AllLimitedTest(NamedLimitCase):
-    """All servers of a service name a limit."""
+    """All servers of a service state a limit."""
 
     options = SiteOptions(engines=2, plain=1)
 
-    async def test_refused_in_time_and_truly(self) -> None:
-        # Guards against requests that wait in vain until their time is over,
-        # or are refused though they have run.
+    async def test_refused_in_time_and_not_run(self) -> None:
+        # Guards against requests that are queued until their deadline, or are
+        # refused although they have run.
         async with self.site(2) as (site, instances):
             await self.until(lambda: all(x.peers_live == 2 for x in instances))
             server = site.servers["plain-1"]
             server.faults.limit = b"2.0"
-            await self.send_for(instances, KNOWN_S, "/lookup/x")
-            before = len(server.journal)
+            await self.send_for(instances, PROPAGATION_S, "/lookup/x")
+            count_before = len(server.journal)
             since = time.monotonic()
             answers = await self.send_for(instances, 5.0, "/confirm/x")
-        self.assert_kept(server, since, 2.0)
+        self.assert_limit_kept(server, since, 2.0)
         by_status = {
             status: [x for x in answers if x.status == status]
             for status in (200, 503)
         }
         self.assertEqual(sum(map(len, by_status.values())), len(answers))
-        self.assertEqual(len(server.journal) - before, len(by_status[200]))
+        self.assertEqual(
+            len(server.journal) - count_before, len(by_status[200])
+        )
         self.assertGreaterEqual(len(by_status[200]), 6)
         for answer in by_status[503]:
             self.assertIn("retry-after", answer.headers)
