--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -1,9 +1,10 @@
-"""Duties that one instance at a time does for all: usage and servers.
+"""Duties that one instance at a time performs for all: usage and servers.
 
-Each instance tells a few others, the same ones for all, what servers have
-begun for it and what its callers bring. These few are found by hashing over
-the live instances. One of them holds the lease and does the duties; the others
-hear from it, and the first of them takes over once it is silent.
+All instances report the requests that servers started for them, and their
+clients' demand, to the same few coordinators, which rendezvous hashing selects
+among the live instances. One coordinator holds the lease and performs the
+duties; it notifies the others, the first of which takes over when the holder
+becomes unresponsive.
 """
 
 import time
@@ -28,57 +29,60 @@
     UsageWindow,
 )
 from jasminerelay.serverorders import ServerOrders
-from jasminerelay.trueclock import SKEW_S, TrueClock, middle_skew_s
+from jasminerelay.trueclock import MAX_SKEW_S, TrueClock, median_skew_s
 from jasminerelay.usage import OwnUsage, UsageLedger
 from jasminerelay.usagereports import UsageReports
 
-MS = 1e3
+MS_PER_S = 1e3
 
-HOMES = 3
-"""Instances that are told everything. Two of them may end at once."""
+COORDINATOR_COUNT = 3
+"""Instances that receive all reports. Two of them may fail at once."""
 
 TICK_S = 0.25
-TELL_EVERY_S = 1.0
-"""How often an instance tells the homes. What it counted since goes with it if
-it is killed."""
+REPORT_INTERVAL_S = 1.0
+"""Interval of an instance's reports. Counts since the last one are lost if the
+instance is killed."""
 
-ANEW_S = 3.2
-"""How long a new home is told all that is kept."""
+FULL_REPORT_S = 3.2
+"""How long a new coordinator gets full reports."""
 
-SILENCE_S = 1.0
-"""Silence of the holder after which the first home looks at the lease."""
+HOLDER_TIMEOUT_S = 1.0
+"""Time without a message from the holder after which the first coordinator
+reads the lease."""
 
-STEP_S = 0.5
-"""How much longer each next home waits."""
+TIMEOUT_STEP_S = 0.5
+"""Additional time that each further coordinator waits."""
 
-TAKE_EVERY_S = 0.6
-"""Pause between two looks at a lease that another still holds."""
+TAKE_RETRY_S = 0.6
+"""Pause between two reads of a lease that another instance still holds."""
 
-WORD_LIFE_S = 3.0
-"""How long an instance's word counts."""
+MESSAGE_TTL_S = 3.0
+"""How long an instance's report counts."""
 
-SIGHT_SHARE = 0.8
-"""Part of the live instances whose words it takes to order servers."""
+MIN_REPORTING_SHARE = 0.8
+"""Fraction of the live instances whose reports are needed to order servers."""
 
-CORRECT_EVERY_S = 3.0
-"""Pause between two corrections of a clock: the first one must show."""
+CORRECTION_INTERVAL_S = 3.0
+"""Pause between two clock corrections, so that the first one shows in the
+reports."""
 
-YOUNG_S = 15.0
-"""Age up to which an instance's start is that of the whole system, if it is the
-first: counts are kept for longer."""
+STARTUP_S = 15.0
+"""Age up to which a first start of this instance counts as the first start of
+the whole system: counts are kept for longer."""
 
-REST_S = 6.0
-"""How long one that could not reach the platform leaves the duty to others."""
+BACKOFF_S = 6.0
+"""How long an instance that could not reach the platform leaves the duties to
+others."""
 
 
 class Duties:
-    """One instance's part in the duties.
+    """Reports of one instance, and the duties if it holds the lease.
 
     Attributes:
-        reports: Reports usage; None if nobody wants that.
-        orders: Orders servers; None if nobody wants that.
-        send: Sends a word to another instance.
-        first_start: Whether nothing of the whole system ran before.
+        reports: Reports usage to the platform; None if disabled.
+        orders: Orders servers; None if disabled.
+        send: Sends a message to an instance, without confirmation.
+        first_start: Whether the whole system starts for the first time.
     """
 
     def __init__(
@@ -94,19 +98,19 @@
         counters: Counters,
         log: EventLog,
     ):
-        """Makes the part of an instance that knows no other yet.
+        """Creates an instance's part, without other instances yet.
 
         Args:
             own: This instance.
-            keeper: Keeps the lease.
-            desk: Calls the platform under it.
-            usage: What servers have begun for this instance's requests.
-            ledger: What all instances have counted.
-            clock: The true time.
-            dispatcher: Knows what this instance's callers bring.
+            keeper: Takes and renews the lease.
+            desk: Calls the platform under the lease.
+            usage: Requests that servers started for this instance.
+            ledger: Usage counted by all instances.
+            clock: True time.
+            dispatcher: Source of this instance's demand.
             registry: Configuration and servers.
-            counters: Counts events.
-            log: Takes events.
+            counters: Receives counts of events.
+            log: Receives events.
         """
         self._own = own
         self._keeper = keeper
@@ -121,25 +125,25 @@
         self._counters = counters
         self._log = log
         self._demand = DemandView()
-        self._heard: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
         self._skews: dict[str, float] = {}
-        self._homes: list[Member] = []
+        self._coordinators: list[Member] = []
         self._members: dict[str, Member] = {}
 
-        self._home_since: dict[str, float] = {}
-        self._holder_at = now_s()
-        self._tried_at = float("-inf")
+        self._coordinator_since: dict[str, float] = {}
+        self._holder_seen_at = now_s()
+        self._take_tried_at = float("-inf")
         self._corrected_at = float("-inf")
-        self._born = now_s()
+        self._started_at = now_s()
         self.first_start = False
-        self._rests_until = float("-inf")
+        self._backoff_until = float("-inf")
         self._stopping = False
-        self.send: Callable[[Member, DutyWord], None] = lambda to, word: None
-        keeper.on_taken = self._taken
+        self.send: Callable[[Member, DutyWord], None] = lambda to, message: None
+        keeper.on_taken = self._on_lease_taken
 
     @property
     def holds(self) -> bool:
-        """Whether this instance does the duties now."""
+        """Whether this instance holds the lease and performs the duties."""
         return self._keeper.holds
 
     def true_s(self) -> float:
@@ -147,65 +151,72 @@
         return self._clock.at(now_s())
 
     def began(self, organisation: str, ago_s: float) -> None:
-        """Notes that a server has begun a request.
+        """Records that a server started a request.
 
         Args:
-            organisation: Whose it is; "" counts for nobody.
-            ago_s: How long ago it began.
+            organisation: Organisation to charge; "" for none.
+            ago_s: How long ago the request started.
         """
         if organisation:
             true_s = self.true_s() - ago_s
-            self._usage.began(organisation, true_s, time.monotonic())
+            self._usage.record_start(organisation, true_s, time.monotonic())
 
     def saw_instances(self, live: Sequence[Member]) -> None:
-        """Notes the instances that take callers."""
+        """Updates the list of instances that accept client connections."""
         members = {member.instance: member for member in live}
         if members.keys() == self._members.keys():
             return
         self._members = members
-        # Also one that has lost the store: it cannot do the duties, but it
-        # goes on listening, and knows all once it has the store again.
-        names = rendezvous.rank("duties", members)[:HOMES]
-        if names == [home.instance for home in self._homes]:
+        # Includes instances that have lost the store: they cannot perform the
+        # duties, but go on receiving reports, and are complete once they reach
+        # the store again.
+        ranked = rendezvous.rank("duties", members)[:COORDINATOR_COUNT]
+        if ranked == [
+            coordinator.instance for coordinator in self._coordinators
+        ]:
             return
-        was_home = self._position is not None
-        self._homes = [members[name] for name in names]
+        was_coordinator = self._coordinator_rank is not None
+        self._coordinators = [members[name] for name in ranked]
         now = now_s()
-        self._home_since = {
-            name: self._home_since.get(name, now) for name in names
+        self._coordinator_since = {
+            name: self._coordinator_since.get(name, now) for name in ranked
         }
-        if self._position is None:
-            self._ledger.closes()
-        elif not was_home:
-            # As all start for the first time, all that was counted is told to
-            # whoever becomes a home.
-            first = self.first_start and now - self._born < YOUNG_S
+        if self._coordinator_rank is None:
+            self._ledger.mark_incomplete()
+        elif not was_coordinator:
+            # While all instances start for the first time, a new coordinator
+            # receives everything that was counted.
+            first = self.first_start and now - self._started_at < STARTUP_S
             window = self._usage.window_at(self.true_s()) + 1
-            self._ledger.opens(0 if first else window)
+            self._ledger.mark_complete_from(0 if first else window)
 
-    def hear(self, word: DutyWord) -> None:
-        """Takes another instance's word."""
+    def hear(self, message: DutyWord) -> None:
+        """Handles another instance's message."""
         now = now_s()
-        if word.skew_ms and now - self._corrected_at > CORRECT_EVERY_S:
+        if message.skew_ms and now - self._corrected_at > CORRECTION_INTERVAL_S:
             self._corrected_at = now
-            self._clock.correct(word.skew_ms / MS)
-            self._log.trouble("clock_corrected", ahead_ms=word.skew_ms)
-        if word.holds and word.sender != self._own.instance:
-            self._holder_at = now
-        self._heard[word.sender] = now
-        self._skews[word.sender] = word.clock_ms / MS - self.true_s()
-        self._ledger.hear(word.sender, word.usage)
-        demand = peerwords.demand_rows(word.demand)
+            self._clock.correct(message.skew_ms / MS_PER_S)
+            self._log.trouble("clock_corrected", ahead_ms=message.skew_ms)
+        if message.holds and message.sender != self._own.instance:
+            self._holder_seen_at = now
+        self._received_at[message.sender] = now
+        self._skews[message.sender] = (
+            message.clock_ms / MS_PER_S - self.true_s()
+        )
+        self._ledger.merge(message.sender, message.usage)
+        demand = peerwords.demand_rows(message.demand)
         if demand:
-            # The holder's words that only say that it is there have none.
-            self._demand.hear(word.sender, demand, time.monotonic())
+            # The holder's heartbeats have none.
+            self._demand.hear(message.sender, demand, time.monotonic())
 
     def work(self, service: str) -> float | None:
-        """Returns how many servers a service's requests fill.
+        """Returns how many servers a service's requests occupy.
 
-        None if too few instances have been heard of late to say.
+        None if too few instances have reported recently.
         """
-        if len(self._heard) < SIGHT_SHARE * max(1, len(self._members)):
+        if len(self._received_at) < MIN_REPORTING_SHARE * max(
+            1, len(self._members)
+        ):
             return None
         if self._registry.standing.touch is Touch.LOST:
             return None
@@ -213,51 +224,58 @@
         return sum(item.work for item in demand)
 
     def stop(self) -> None:
-        """Notes that this instance is about to end."""
+        """Marks this instance as shutting down."""
         self._stopping = True
 
     async def run(self) -> None:
-        """Does this instance's part until cancelled."""
+        """Reports, and performs the duties under the lease, forever."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._talk)
-            await self._work()
+            group.start_soon(self._exchange_reports)
+            await self._serve_duties()
 
-    async def _talk(self) -> None:
-        told_at = float("-inf")
+    async def _exchange_reports(self) -> None:
+        reported_at = float("-inf")
         while True:
             await anyio.sleep(TICK_S)
             now = now_s()
-            self._tidy(now)
-            all_due = now - told_at >= TELL_EVERY_S
-            if all_due:
-                told_at = now
+            self._update_clock_and_expire(now)
+            report_due = now - reported_at >= REPORT_INTERVAL_S
+            if report_due:
+                reported_at = now
                 self._check_clocks()
-            if all_due or self.holds:
-                self._tell(now, all_due)
+            if report_due or self.holds:
+                self._send_reports(now, report_due)
 
-    def _tidy(self, now: float) -> None:
-        self._clock.look(now, time.time())
+    def _update_clock_and_expire(self, now: float) -> None:
+        self._clock.update(now, time.time())
         self._ledger.expire(self._usage.window_at(self.true_s()))
-        for name, at in list(self._heard.items()):
-            if now - at > WORD_LIFE_S:
-                del self._heard[name]
+        for name, at in list(self._received_at.items()):
+            if now - at > MESSAGE_TTL_S:
+                del self._received_at[name]
                 self._skews.pop(name, None)
 
-    def _tell(self, now: float, all_due: bool) -> None:
-        """Tells the homes; the holder says more often that it is there."""
-        demand = self._dispatcher.own_demand() if all_due else []
+    def _send_reports(self, now: float, report_due: bool) -> None:
+        """Reports to the coordinators; the holder also sends heartbeats."""
+        demand = self._dispatcher.own_demand() if report_due else []
         steady = time.monotonic()
-        for home in self._homes:
-            anew = now - self._home_since[home.instance] < ANEW_S
-            usage = self._usage.told(steady, anew=anew) if all_due else []
-            word = self._word(usage, demand)
-            if home.instance == self._own.instance:
-                if all_due:
-                    self.hear(word)
+        for coordinator in self._coordinators:
+            full = (
+                now - self._coordinator_since[coordinator.instance]
+                < FULL_REPORT_S
+            )
+            usage = (
+                self._usage.windows_to_send(steady, full=full)
+                if report_due
+                else []
+            )
+            message = self._make_message(usage, demand)
+            if coordinator.instance == self._own.instance:
+                if report_due:
+                    self.hear(message)
             else:
-                self.send(home, word)
+                self.send(coordinator, message)
 
-    def _word(
+    def _make_message(
         self,
         usage: Sequence[UsageWindow] = (),
         demand: Sequence[KindDemand] = (),
@@ -266,78 +284,86 @@
         return DutyWord(
             self._own.instance,
             self.holds,
-            round(self.true_s() * MS),
+            round(self.true_s() * MS_PER_S),
             list(usage),
             peerwords.demand_columns(demand),
-            round(skew_s * MS),
+            round(skew_s * MS_PER_S),
         )
 
     def _check_clocks(self) -> None:
-        if self._position is None:
+        if self._coordinator_rank is None:
             return
-        middle = middle_skew_s(self._skews.values())
-        if middle and now_s() - self._corrected_at > CORRECT_EVERY_S:
+        median_s = median_skew_s(self._skews.values())
+        if median_s and now_s() - self._corrected_at > CORRECTION_INTERVAL_S:
             self._corrected_at = now_s()
-            self._clock.correct(-middle)
-            self._log.trouble("clock_corrected", ahead_ms=-round(middle * MS))
+            self._clock.correct(-median_s)
+            self._log.trouble(
+                "clock_corrected", ahead_ms=-round(median_s * MS_PER_S)
+            )
             self._skews.clear()
         elif self.holds:
             for name, skew in list(self._skews.items()):
-                if abs(skew) > SKEW_S and name in self._members:
-                    self.send(self._members[name], self._word(skew_s=skew))
+                if abs(skew) > MAX_SKEW_S and name in self._members:
+                    self.send(
+                        self._members[name], self._make_message(skew_s=skew)
+                    )
                     del self._skews[name]
 
     @property
-    def _position(self) -> int | None:
-        """This instance's place among the homes; None if it is none."""
-        for place, home in enumerate(self._homes):
-            if home.instance == self._own.instance:
-                return place
+    def _coordinator_rank(self) -> int | None:
+        """This instance's rank among the coordinators; None if it is none."""
+        for rank, coordinator in enumerate(self._coordinators):
+            if coordinator.instance == self._own.instance:
+                return rank
         return None
 
-    async def _work(self) -> None:
+    async def _serve_duties(self) -> None:
         while True:
             await anyio.sleep(TICK_S)
             try:
-                await self._do()
+                await self._serve_once()
             except StoreError as exc:
                 self._counters.incr("duty.store_failed")
                 self._log.info("duty_store_failed", why=exc.message)
 
-    async def _do(self) -> None:
+    async def _serve_once(self) -> None:
         now = now_s()
         if self.holds:
-            if self._desk.unheard:
-                self._rests_until = now + REST_S
-            if self._position is None or self._stopping or self._rests(now):
+            if self._desk.platform_unreachable:
+                self._backoff_until = now + BACKOFF_S
+            if (
+                self._coordinator_rank is None
+                or self._stopping
+                or self._backing_off(now)
+            ):
                 self._log.trouble("duty_given_up", fence=self._desk.fence)
-                await self._keeper.give_up()
+                await self._keeper.release()
                 return
-            await self._keeper.keep()
+            await self._keeper.renew_if_due()
             if self.reports is not None:
                 await self.reports.serve()
             if self.orders is not None:
                 await self.orders.serve()
-        elif self._may_try(now):
-            self._tried_at = now
+        elif self._may_try_to_take(now):
+            self._take_tried_at = now
             await self._keeper.try_take()
 
-    def _may_try(self, now: float) -> bool:
-        place = self._position
-        if place is None or self._stopping or self._rests(now):
+    def _may_try_to_take(self, now: float) -> bool:
+        rank = self._coordinator_rank
+        if rank is None or self._stopping or self._backing_off(now):
             return False
-        silence_s = SILENCE_S + STEP_S * place
-        if now - self._holder_at < silence_s:
+        timeout_s = HOLDER_TIMEOUT_S + TIMEOUT_STEP_S * rank
+        if now - self._holder_seen_at < timeout_s:
             return False
-        return now - self._tried_at >= TAKE_EVERY_S
+        return now - self._take_tried_at >= TAKE_RETRY_S
 
-    def _rests(self, now: float) -> bool:
-        return now < self._rests_until and len(self._homes) > 1
+    def _backing_off(self, now: float) -> bool:
+        return now < self._backoff_until and len(self._coordinators) > 1
 
-    def _taken(self) -> None:
+    def _on_lease_taken(self) -> None:
         self._counters.incr("duty.taken")
         self._log.trouble("duty_taken", fence=self._desk.fence)
-        self._desk.taken()
+        self._desk.on_lease_taken()
         for part in (self.reports, self.orders):
             if part is not None:
-                part.taken()
+                part.on_lease_taken()
--- a/src/jasminerelay/dutycalls.py
+++ b/src/jasminerelay/dutycalls.py
@@ -1,4 +1,4 @@
-"""What the platform says to calls that one instance at a time makes."""
+"""Results of calls to the platform that one instance at a time makes."""
 
 import enum
 from typing import Protocol
@@ -8,29 +8,25 @@
 
 
 class Said(enum.Enum):
-    """The platform's answer to a call.
-
-    Attributes:
-        DONE: It was carried out.
-        CONFLICT: It was not: another instance has called with a higher
-            fencing number, or none of the servers asked for are to be had.
-        BUSY: It was not, since there were too many calls, or the platform
-            could not be reached.
-        NOTHING: There was no answer. It may have been carried out, or may
-            still be, seconds later.
-    """
+    """The result of a call to the platform."""
 
+    # Executed.
     DONE = "done"
+    # Not executed: another instance has made a call with a higher fencing
+    # token, or no servers of the requested kind are available.
     CONFLICT = "conflict"
+    # Not executed: there were too many calls, or the platform was unreachable.
     BUSY = "busy"
+    # No response. The call may have been executed, or may still be, seconds
+    # later.
     NOTHING = "nothing"
 
 
 class DutyCalls(Protocol):
-    """The platform's side of the duties."""
+    """The platform's interface for duties."""
 
     async def report(self, report: Report, fence: int) -> Said:
-        """Reports a window's usage."""
+        """Reports the usage of a window."""
 
     async def order(self, order: Order, fence: int) -> Said:
         """Orders a number of servers."""
--- a/src/jasminerelay/dutydesk.py
+++ b/src/jasminerelay/dutydesk.py
@@ -1,4 +1,4 @@
-"""Calls the platform for who holds the duties, and for nobody else."""
+"""Platform calls of the instance that holds the duties' lease."""
 
 import time
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from jasminerelay.scaling import Order
 from jasminerelay.usage import Report
 
-MOST_UNANSWERED = 4
-"""Calls in a row without an answer after which another instance should try:
-the platform may be out of reach from this one alone."""
+MAX_FAILED_CALLS = 4
+"""Failed calls in a row after which another instance should take over: the
+platform may be unreachable from this one alone."""
 
 
 class DutyDesk:
-    """Makes the holder's calls under the lease's fencing number."""
+    """Makes the lease holder's calls under the lease's fencing token."""
 
     def __init__(
         self,
@@ -28,15 +28,16 @@
         counters: Counters,
         log: EventLog,
     ):
-        """Makes the desk.
+        """Creates the caller of one instance.
 
         Args:
-            keeper: Keeps the lease.
-            calls: The platform.
-            calls_s: Calls a second that it takes from all instances.
-            clock: Returns the time that the lease goes by.
-            counters: Counts events.
-            log: Takes events.
+            keeper: Takes and renews the lease.
+            calls: Interface of the platform.
+            calls_s: Calls per second that the platform accepts from all
+                instances.
+            clock: Returns the time that the lease is measured by.
+            counters: Receives counts of events.
+            log: Receives events.
         """
         self._keeper = keeper
         self._calls = calls
@@ -44,76 +45,76 @@
         self._clock = clock
         self._counters = counters
         self._log = log
-        self._unanswered = 0
+        self._failed_calls = 0
         self._renew_first = False
 
     @property
     def fence(self) -> int:
-        """Fencing number of the calls."""
+        """Fencing token of the calls."""
         return self._keeper.lease.fence
 
     @property
-    def unheard(self) -> bool:
-        """Whether the platform seems to be out of reach from here."""
-        return self._unanswered >= MOST_UNANSWERED
+    def platform_unreachable(self) -> bool:
+        """Whether the platform seems unreachable from this instance."""
+        return self._failed_calls >= MAX_FAILED_CALLS
 
-    def taken(self) -> None:
-        """Notes that this instance has just taken the duty."""
-        self._unanswered = 0
+    def on_lease_taken(self) -> None:
+        """Resets the state after this instance has taken the lease."""
+        self._failed_calls = 0
         self._renew_first = False
 
-    async def record(self, report: Report) -> bool:
-        """Decides a report, unless another was; StoreError unanswered."""
+    async def decide(self, report: Report) -> bool:
+        """Decides a report unless it is decided; StoreError if unanswered."""
         return await self._keeper.renew(report)
 
     async def report(self, report: Report) -> bool:
-        """Sends a decided report; returns whether it was taken."""
-        if not await self._ready():
+        """Sends a decided report; returns whether the platform accepted it."""
+        if not await self._prepare_call():
             return False
         said = await self._calls.report(report, self.fence)
-        self._take(said)
+        self._record_result(said)
         if said is Said.CONFLICT:
-            self._fenced()
+            self._on_fenced()
         return said is Said.DONE
 
     async def order(self, order: Order) -> Said:
-        """Orders servers; returns what the platform says."""
-        if not await self._ready():
+        """Orders servers; returns the result of the call."""
+        if not await self._prepare_call():
             return Said.BUSY
         said = await self._calls.order(order, self.fence)
-        self._take(said)
+        self._record_result(said)
         if said is Said.CONFLICT and not order.preemptible:
-            self._fenced()
+            self._on_fenced()
         return said
 
-    async def _ready(self) -> bool:
-        """Returns whether a call may be made now."""
+    async def _prepare_call(self) -> bool:
+        """Renews the lease if needed; returns whether to make a call now."""
         if self._bucket.lend(1.0, time.monotonic()) < 1.0:
             self._counters.incr("duty.too_many")
             return False
         lease = self._keeper.lease
         if self._renew_first or not lease.may_order(self._clock()):
-            # A call without an answer may be carried out later, so what
-            # follows it needs a higher number.
+            # A call without a response may still be executed later, so the next
+            # call needs a higher fencing token.
             self._renew_first = not await self._keeper.renew()
-        # The last look comes right before the call: a freeze earlier on may
-        # have outlasted the lease.
+        # Checked right before the call: the process may have been frozen for
+        # longer than the lease since the check above.
         now = self._clock()
         if self._renew_first or not lease.may_order(now):
             self._counters.incr("duty.too_late")
             return False
-        lease.ordered(now)
+        lease.record_order(now)
         return True
 
-    def _take(self, said: Said) -> None:
+    def _record_result(self, said: Said) -> None:
         self._counters.incr(f"duty.{said.value}")
         if said in (Said.DONE, Said.CONFLICT):
-            self._unanswered = 0
+            self._failed_calls = 0
             return
-        self._unanswered += 1
+        self._failed_calls += 1
         self._renew_first = self._renew_first or said is Said.NOTHING
 
-    def _fenced(self) -> None:
+    def _on_fenced(self) -> None:
         self._counters.incr("duty.fenced")
         self._log.trouble("duty_fenced", fence=self.fence)
-        self._keeper.lease.lost()
+        self._keeper.lease.mark_lost()
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -1,8 +1,8 @@
-"""Brings backend servers to the placements of the manifest.
+"""Reconciles backend servers with the placements of the manifest.
 
-One instance at a time, the holder of a lease, reads what each server has and
-orders what is missing. Orders are absolute, so one that comes twice does no
-harm.
+One instance at a time, the holder of a lease, reads the state of each server
+and orders what is missing. Orders are idempotent: they contain the complete
+desired state.
 """
 
 import dataclasses
@@ -35,46 +35,46 @@
 _log = logging.getLogger(__name__)
 
 ROW_KEY = "lease/placements"
-CANDIDATES = 3
-"""Instances that watch the lease; the others spare the store their reads."""
+CANDIDATE_COUNT = 3
+"""Instances that read the lease; the others cause no load on the store."""
 
 TICK_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
-class _Held:
+class _VersionedLease:
     version: int
     row: LeaseRow | None
     age_s: float = 0.0
 
 
-class _TableRows:
-    """The lease's row in the table service."""
+class _TableLeaseStore:
+    """The row of the lease in the table service."""
 
     def __init__(self, table: Table):
         self._table = table
 
-    async def read(self) -> _Held:
-        """Returns the row as it is."""
-        return _held(await self._table.read(ROW_KEY))
+    async def read(self) -> _VersionedLease:
+        """Returns the current row."""
+        return _versioned_lease(await self._table.read(ROW_KEY))
 
     async def write(
         self, expect: int, row: LeaseRow, extra: Any = None
-    ) -> tuple[bool, _Held]:
-        """Writes the row if it has a version."""
+    ) -> tuple[bool, _VersionedLease]:
+        """Writes the row if it has the expected version."""
         writes = [Write(ROW_KEY, expect, row)]
         written = (await self._table.commit(writes))[0]
-        return written.ok, _held(written.row)
+        return written.ok, _versioned_lease(written.row)
 
 
-def _held(row: Row | None) -> _Held:
+def _versioned_lease(row: Row | None) -> _VersionedLease:
     if row is None:
-        return _Held(ABSENT, None)
-    return _Held(row.version, msgspec.convert(row.value, LeaseRow))
+        return _VersionedLease(ABSENT, None)
+    return _VersionedLease(row.version, msgspec.convert(row.value, LeaseRow))
 
 
-class _Loaded(msgspec.Struct):
-    """What a server says that it has."""
+class _LoadedState(msgspec.Struct):
+    """What a server has loaded, by its own report."""
 
     model: str = ""
     version: str = ""
@@ -82,12 +82,12 @@
     role: str = ""
 
 
-class _State(msgspec.Struct):
-    state: _Loaded
+class _StateReply(msgspec.Struct):
+    state: _LoadedState
 
 
 class Placer:
-    """Owns this instance's part in the lease and gives the orders."""
+    """Takes part in the lease and gives orders while it is held."""
 
     def __init__(
         self,
@@ -107,46 +107,48 @@
         self._counters = counters
         self._lease = Lease(cfg.placement_lease_s, cfg.order_timeout_s)
         self._keeper = LeaseKeeper(
-            _TableRows(table),
+            _TableLeaseStore(table),
             self._lease,
             own.instance,
             own.incarnation,
             time.monotonic,
         )
-        self._keeper.on_taken = self._taken
+        self._keeper.on_taken = self._on_lease_taken
         self._bucket: Bucket | None = None
         self._bucket_rate = 0.0
 
     @property
     def holds(self) -> bool:
-        """Whether this instance gives the orders now."""
+        """Whether this instance holds the lease and gives the orders."""
         return self._keeper.holds
 
     async def run(self) -> None:
-        """Keeps the lease if it falls here and reconciles, until cancelled."""
+        """Takes or renews the lease and reconciles under it, forever."""
         while True:
             await anyio.sleep(TICK_S)
             directory = self._directory()
             if directory is None or not directory.manifest.placements:
                 continue
             try:
-                await self._keep_lease()
+                await self._take_or_renew_lease()
                 if self.holds:
                     await self._reconcile(directory)
             except StoreError:
                 self._counters.incr("placement.store_failed")
 
-    async def _keep_lease(self) -> None:
+    async def _take_or_renew_lease(self) -> None:
         if self.holds:
-            await self._keeper.keep()
+            await self._keeper.renew_if_due()
         elif self._is_candidate():
             await self._keeper.try_take()
 
-    def _taken(self) -> None:
-        # Another may have read weights just now.
+    def _on_lease_taken(self) -> None:
+        # The previous holder may just have caused a load of weights.
         self._bucket = None
         self._counters.incr("placement.lease_taken")
-        _log.info("took the placement lease, fence %d", self._lease.fence)
+        _log.info(
+            "took the placement lease, fencing token %d", self._lease.fence
+        )
 
     async def _reconcile(self, directory: Directory) -> None:
         rate = directory.manifest.weight_loads_per_s
@@ -156,29 +158,31 @@
             self._bucket_rate = rate
         for placement in directory.manifest.placements:
             server = directory.servers[placement.server]
-            if await self._differs(server, placement):
+            if await self._has_other_state(server, placement):
                 await self._order(server, placement)
 
-    async def _differs(self, server: Server, placement: Placement) -> bool:
+    async def _has_other_state(
+        self, server: Server, placement: Placement
+    ) -> bool:
         url = f"http://{server.address}/v1/state"
         exchange = Exchange("GET", url, timeout_s=self._cfg.order_timeout_s)
         try:
             reply = await self._client.call(exchange)
-            loaded = msgspec.json.decode(reply.body, type=_State).state
+            loaded = msgspec.json.decode(reply.body, type=_StateReply).state
         except (NotSentError, BrokenError, msgspec.MsgspecError):
             self._counters.incr("placement.unreadable")
             return False
-        return _wanted(placement) != msgspec.to_builtins(loaded)
+        return _desired_state(placement) != msgspec.to_builtins(loaded)
 
     async def _order(self, server: Server, placement: Placement) -> None:
         if not self._bucket or self._bucket.lend(1.0, time.monotonic()) < 1.0:
             return
-        # The last look at the lease comes right before the order: a freeze
-        # earlier in the round may have outlasted it.
+        # Checked right before the order: the process may have been frozen for
+        # longer than the lease since the round began.
         if not self._lease.may_order(time.monotonic()):
             self._counters.incr("placement.too_late")
             return
-        body = {"fence": self._lease.fence, "state": _wanted(placement)}
+        body = {"fence": self._lease.fence, "state": _desired_state(placement)}
         exchange = Exchange(
             "POST",
             f"http://{server.address}/v1/orders",
@@ -192,9 +196,9 @@
             self._counters.incr("placement.order_failed")
             return
         if reply.status == 409:
-            # A newer holder has spoken to this server.
+            # A newer holder has given an order to this server.
             self._counters.incr("placement.fenced")
-            self._lease.lost()
+            self._lease.mark_lost()
             return
         self._counters.incr("placement.orders")
         _log.info(
@@ -207,11 +211,12 @@
     def _is_candidate(self) -> bool:
         names = [member.instance for member in self._live()]
         return (
-            self._own.instance in rendezvous.rank(ROW_KEY, names)[:CANDIDATES]
+            self._own.instance
+            in rendezvous.rank(ROW_KEY, names)[:CANDIDATE_COUNT]
         )
 
 
-def _wanted(placement: Placement) -> dict[str, str]:
+def _desired_state(placement: Placement) -> dict[str, str]:
     return {
         "model": placement.model,
         "version": placement.version,
--- a/src/jasminerelay/serverorders.py
+++ b/src/jasminerelay/serverorders.py
@@ -1,4 +1,4 @@
-"""Orders servers for the services that may have more or fewer of them."""
+"""Orders servers for autoscaled services under the duties' lease."""
 
 from collections.abc import Callable
 
@@ -10,12 +10,12 @@
 from jasminerelay.registry import Registry
 from jasminerelay.scaling import Order, ServerPlanner
 
-PLAN_EVERY_S = 0.5
-"""How often it is looked whether other servers are wanted."""
+PLAN_INTERVAL_S = 0.5
+"""Interval at which the number of servers is planned."""
 
 
 class ServerOrders:
-    """The holder's part in the orders."""
+    """Plans and orders servers while this instance holds the lease."""
 
     def __init__(
         self,
@@ -26,16 +26,16 @@
         counters: Counters,
         log: EventLog,
     ):
-        """Makes the part of an instance that holds nothing yet.
+        """Creates the orders of an instance without the lease.
 
         Args:
             desk: Calls the platform under the lease.
             registry: Configuration and servers.
-            work: Returns how many servers a service's requests fill; None if
-                too little is known of it.
-            clock: Returns the time that the lease goes by.
-            counters: Counts events.
-            log: Takes events.
+            work: Returns how many servers a service's requests occupy; None if
+                too few instances have reported.
+            clock: Returns the time that the lease is measured by.
+            counters: Receives counts of events.
+            log: Receives events.
         """
         self._desk = desk
         self._registry = registry
@@ -44,24 +44,24 @@
         self._counters = counters
         self._log = log
         self._planners: dict[str, ServerPlanner] = {}
-        self._planned_at = float("-inf")
+        self._last_plan_at = float("-inf")
 
-    def taken(self) -> None:
-        """Notes that this instance has just taken the duty."""
+    def on_lease_taken(self) -> None:
+        """Resets the state after this instance has taken the lease."""
         self._planners.clear()
 
     async def serve(self) -> None:
-        """Orders what is wanted; raises StoreError unanswered."""
+        """Orders servers where needed; StoreError if unanswered."""
         now = self._clock()
-        if now - self._planned_at < PLAN_EVERY_S:
+        if now - self._last_plan_at < PLAN_INTERVAL_S:
             return
-        self._planned_at = now
+        self._last_plan_at = now
         catalog = self._registry.catalog
         for service in catalog.services.values() if catalog else ():
             if service.scaling is not None and service.engine is not None:
-                await self._serve(service)
+                await self._order_servers(service)
 
-    async def _serve(self, service: Service) -> None:
+    async def _order_servers(self, service: Service) -> None:
         work = self._work(service.name)
         if work is None:
             self._counters.incr("servers.blind")
@@ -70,14 +70,14 @@
             service.name, ServerPlanner(service.name)
         )
         servers = self._registry.servers_of(service.name)
-        wanted = planner.plan(service.scaling, servers, work, self._clock())
-        for order in wanted:
+        orders = planner.plan(service.scaling, servers, work, self._clock())
+        for order in orders:
             said = await self._desk.order(order)
-            self._note(planner, order, said, work, len(servers))
+            self._record_result(planner, order, said, work, len(servers))
             if said in (Said.BUSY, Said.NOTHING):
                 return
 
-    def _note(
+    def _record_result(
         self,
         planner: ServerPlanner,
         order: Order,
--- a/src/jasminerelay/usage.py
+++ b/src/jasminerelay/usage.py
@@ -1,9 +1,9 @@
-"""Requests that servers have begun for each organisation, by window of time.
+"""Requests that servers started for each organisation, by time window.
 
-Pure. Each instance counts its own and tells the counts, not their growth, to
-the few that may report them: a word that is lost or comes twice does no harm.
-Counts go by the instance's start, so a restarted one adds to what its former
-start has told.
+Without I/O. Each instance counts its own requests and sends totals, not
+increments, to the few instances that may report them to the platform, so that
+lost and duplicate messages do no harm. Totals are kept per start of an
+instance: those of a restarted instance add to those of its previous start.
 """
 
 import collections
@@ -14,21 +14,21 @@
 from jasminerelay.schema.messages import UsageWindow
 
 KEPT_WINDOWS = 6
-"""Windows that are kept: the present one, those whose reports may still be in
-time, and one more."""
+"""Windows kept: the current one, those whose reports may still be in time, and
+one more."""
 
-TOLD_FOR_S = 3.2
-"""How long a count is told after its last change. Words come each second, and
-three in a row are hardly lost."""
+RESEND_FOR_S = 3.2
+"""How long a total is sent again after its last change. Messages are sent every
+second, and three losses in a row are unlikely."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """The usage of one window.
+    """Usage in one window, as reported to the platform.
 
     Attributes:
-        window: Its number.
-        counts: Requests that servers began in it, by organisation.
+        window: Number of the window.
+        counts: Requests that servers started in it, by organisation.
     """
 
     window: int
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass
-class _Window:
+class _WindowCounts:
     counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
@@ -44,77 +44,82 @@
 
 
 class OwnUsage:
-    """What servers have begun for the requests of one instance."""
+    """Requests that servers started for one instance."""
 
     def __init__(self, window_s: float):
-        """Makes an instance's counts.
+        """Creates empty counts.
 
         Args:
             window_s: Length of a window.
         """
         self._window_s = window_s
-        self._windows: dict[int, _Window] = {}
+        self._windows: dict[int, _WindowCounts] = {}
 
     def window_at(self, true_s: float) -> int:
-        """Returns the number of the window of a moment."""
+        """Returns the number of the window that contains a time."""
         return int(true_s // self._window_s)
 
-    def began(self, organisation: str, true_s: float, now: float) -> None:
-        """Notes that a server has begun a request.
+    def record_start(
+        self, organisation: str, true_s: float, now: float
+    ) -> None:
+        """Counts a request that a server started.
 
         Args:
-            organisation: Whose it is.
-            true_s: True time at which it began.
-            now: Steady time.
+            organisation: Organisation to charge.
+            true_s: True time at which the request started.
+            now: Monotonic time.
         """
-        window = self._windows.setdefault(self.window_at(true_s), _Window())
+        window = self._windows.setdefault(
+            self.window_at(true_s), _WindowCounts()
+        )
         window.counts[organisation] += 1
         window.changed_at = now
         newest = max(self._windows)
         for number in [x for x in self._windows if x <= newest - KEPT_WINDOWS]:
             del self._windows[number]
 
-    def told(self, now: float, *, anew: bool) -> list[UsageWindow]:
-        """Returns what is to be told now.
+    def windows_to_send(self, now: float, *, full: bool) -> list[UsageWindow]:
+        """Returns the totals to send now.
 
         Args:
-            now: Steady time.
-            anew: Whether the other knows nothing yet.
+            now: Monotonic time.
+            full: Whether to include totals that have not changed recently, for
+                a receiver that may have none.
         """
         return [
             UsageWindow(
                 number, list(window.counts), list(window.counts.values())
             )
             for number, window in sorted(self._windows.items())
-            if anew or now - window.changed_at < TOLD_FOR_S
+            if full or now - window.changed_at < RESEND_FOR_S
         ]
 
 
 class UsageLedger:
-    """What all instances have counted, at one that may report it."""
+    """Totals of all instances, at an instance that may report them."""
 
     def __init__(self) -> None:
         self._windows: dict[int, dict[tuple[str, str], int]] = {}
-        self._from = math.inf
+        self._complete_from = math.inf
 
-    def opens(self, first: int) -> None:
-        """Notes the first window of which it will have heard everything."""
-        self._from = min(self._from, first)
+    def mark_complete_from(self, first: int) -> None:
+        """Marks windows from the given one on as completely received."""
+        self._complete_from = min(self._complete_from, first)
 
-    def closes(self) -> None:
-        """Notes that it is not told everything any more."""
-        self._from = math.inf
+    def mark_incomplete(self) -> None:
+        """Marks all windows as incomplete: totals are no longer received."""
+        self._complete_from = math.inf
 
     def complete(self, number: int) -> bool:
-        """Returns whether what is known of a window may be all of it."""
-        return number >= self._from
+        """Returns whether the totals of a window may be complete."""
+        return number >= self._complete_from
 
-    def hear(self, sender: str, usage: Iterable[UsageWindow]) -> None:
-        """Takes an instance's counts.
+    def merge(self, sender: str, usage: Iterable[UsageWindow]) -> None:
+        """Merges the totals of an instance.
 
         Args:
-            sender: The instance, with its start.
-            usage: Its windows.
+            sender: The instance, including its incarnation.
+            usage: Totals by window.
         """
         for item in usage:
             window = self._windows.setdefault(item.number, {})
@@ -131,13 +136,13 @@
             total[name] += count
         return dict(sorted(total.items()))
 
-    def expire(self, present: int) -> None:
+    def expire(self, current: int) -> None:
         """Drops windows that are too old.
 
         Args:
-            present: Number of the present window.
+            current: Number of the current window.
         """
         for number in list(self._windows):
-            # One far ahead is a wrong clock's.
-            if not present - KEPT_WINDOWS < number <= present + KEPT_WINDOWS:
+            # Windows far in the future come from a wrong clock.
+            if not current - KEPT_WINDOWS < number <= current + KEPT_WINDOWS:
                 del self._windows[number]
--- a/src/jasminerelay/usagereports.py
+++ b/src/jasminerelay/usagereports.py
@@ -1,9 +1,9 @@
-"""Reports each window's usage once, whoever holds the duty meanwhile.
+"""Reports each window's usage to the platform once, across lease holders.
 
-A window has one report, ever. So its counts are decided by a write to the
-store under the lease, before they are sent: a holder that dies or freezes at
-any moment leaves a report that was not decided, and may be by another, or one
-whose words the next holder finds and sends again.
+A window must never be reported with two different contents. Its counts are
+therefore decided by a write to the store under the lease before they are sent.
+If a holder dies or freezes before the write, its successor decides the report;
+if after the write, the successor sends the decided counts again.
 """
 
 from collections.abc import Callable, Mapping
@@ -14,14 +14,14 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.usage import Report, UsageLedger
 
-DECIDE_SHARE = 0.5
-"""Part of the time until a report is due after which it is decided. Counts of
-instances that were cut off come until then; what is left serves a new holder.
-"""
+DECIDE_AFTER_SHARE = 0.5
+"""Fraction of the time until a report is due after which it is decided. Counts
+of instances that were unreachable may arrive until then; the remaining time is
+left for a new holder."""
 
 
 class DecidedReports(Protocol):
-    """Where decided reports are kept.
+    """Store of decided reports.
 
     Attributes:
         reports: Counts of the windows that are known to be decided.
@@ -31,7 +31,7 @@
 
 
 class UsageReports:
-    """The holder's part in the reports."""
+    """Decides and sends reports while this instance holds the lease."""
 
     def __init__(
         self,
@@ -44,17 +44,17 @@
         counters: Counters,
         log: EventLog,
     ):
-        """Makes the part of an instance that holds nothing yet.
+        """Creates the reports of an instance without the lease.
 
         Args:
             desk: Calls the platform under the lease.
-            decided: Where decided reports are kept.
-            ledger: What all instances have counted.
+            decided: Store of decided reports.
+            ledger: Usage counted by all instances.
             window_s: Length of a window.
             late_s: Time after a window's end at which its report is due.
             true_s: Returns the true time, in seconds since 1970.
-            counters: Counts events.
-            log: Takes events.
+            counters: Receives counts of events.
+            log: Receives events.
         """
         self._desk = desk
         self._decided = decided
@@ -67,26 +67,26 @@
         self._sent: set[int] = set()
         self._missed: set[int] = set()
 
-    def taken(self) -> None:
-        """Notes that this instance has just taken the duty."""
-        # The former holder may have died before it sent what it decided, and
-        # a report that comes twice in the same words is one.
+    def on_lease_taken(self) -> None:
+        """Resets the state after this instance has taken the lease."""
+        # The previous holder may have died before it sent what it had decided.
+        # Sending a report again with the same counts has no effect.
         self._sent.clear()
 
     async def serve(self) -> None:
-        """Decides and sends what is due; raises StoreError unanswered."""
-        for window in self._ended():
+        """Decides and sends the due reports; StoreError if unanswered."""
+        for window in self._due_windows():
             if window not in self._decided.reports:
                 await self._decide(window)
             counts = self._decided.reports.get(window)
             if counts is not None and window not in self._sent:
                 await self._send(Report(window, counts))
 
-    def _ended(self) -> list[int]:
+    def _due_windows(self) -> list[int]:
         """Returns the windows whose reports may be decided and are in time."""
         now = self._true_s()
-        decide_s = self._late_s * DECIDE_SHARE
-        last = int((now - decide_s) // self._window_s) - 1
+        decide_after_s = self._late_s * DECIDE_AFTER_SHARE
+        last = int((now - decide_after_s) // self._window_s) - 1
         first = int((now - self._late_s) // self._window_s)
         self._sent = {x for x in self._sent if x >= first}
         self._missed = {x for x in self._missed if x >= first}
@@ -94,13 +94,13 @@
 
     async def _decide(self, window: int) -> None:
         if not self._ledger.complete(window):
-            self._miss(window)
+            self._record_miss(window)
             return
         report = Report(window, self._ledger.counts(window))
-        if await self._desk.record(report):
+        if await self._desk.decide(report):
             self._counters.incr("usage.decided")
 
-    def _miss(self, window: int) -> None:
+    def _record_miss(self, window: int) -> None:
         if window in self._missed:
             return
         self._missed.add(window)
@@ -108,7 +108,7 @@
         self._log.trouble(
             "usage_missed",
             window=window,
-            why="this instance was not told all of it",
+            why="this instance has not received all usage of the window",
         )
 
     async def _send(self, report: Report) -> None:
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -1,4 +1,4 @@
-"""Several instances, one of which does the duties, without sockets."""
+"""Simulates instances, one of which performs the duties, without sockets."""
 
 import collections
 import dataclasses
@@ -26,30 +26,31 @@
 WINDOW_S = 5.0
 LATE_S = 10.0
 CALL_S = 0.5
-DAY_S = 60.0
-FAULTS_S = 40.0
+DURATION_S = 60.0
+FAULTS_DURATION_S = 40.0
 ORGANISATIONS = ("elm", "oak", "ash")
 STORE_TIMEOUT_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
-class _Held:
+class _VersionedLease:
     version: int
     row: LeaseRow | None
     age_s: float
 
 
-class DutyStore:
-    """The table of the duties, as all instances see it.
+class SimulatedStore:
+    """The table of the duties, shared by all instances.
 
     Attributes:
-        down: Whether it answers nobody.
-        lost: Part of the writes that are done and not answered.
-        late: Part of the writes that are not answered and done later.
+        down: Whether it answers no one.
+        lost: Fraction of the writes that are executed without a response.
+        late: Fraction of the writes that are executed later, without a
+            response.
     """
 
-    def __init__(self, world: "DutyWorld"):
-        self._world = world
+    def __init__(self, simulation: "DutySimulation"):
+        self._simulation = simulation
         self._version = 0
         self._lease: tuple[int, LeaseRow, float] | None = None
         self.reports: dict[int, dict[str, int]] = {}
@@ -57,13 +58,13 @@
         self.lost = 0.0
         self.late = 0.0
 
-    def held(self) -> _Held:
-        """Returns the lease as it is."""
+    def held(self) -> _VersionedLease:
+        """Returns the current row of the lease."""
         if self._lease is None:
-            return _Held(0, None, float("inf"))
+            return _VersionedLease(0, None, float("inf"))
         version, row, at = self._lease
         age_s = float("inf") if row.given_up else anyio.current_time() - at
-        return _Held(version, row, age_s)
+        return _VersionedLease(version, row, age_s)
 
     def commit(
         self, expect: int, row: LeaseRow, report: Report | None, sent_at: float
@@ -80,86 +81,87 @@
         return True
 
 
-class NodeRows:
-    """One instance's way to the store.
+class StoreAccess:
+    """One instance's access to the store.
 
     Attributes:
-        reports: What it knows to be decided.
-        cut: Whether the store turns this instance away.
-        frozen_s: How long it stands still before it gets the next answer.
+        reports: Decided reports that the instance has read or written.
+        cut: Whether the store is unreachable from this instance.
+        frozen_s: How long the instance freezes before it gets the next
+            response.
     """
 
-    def __init__(self, world: "DutyWorld"):
-        self._world = world
+    def __init__(self, simulation: "DutySimulation"):
+        self._simulation = simulation
         self.reports: dict[int, dict[str, int]] = {}
         self.cut = False
         self.frozen_s = 0.0
 
-    async def read(self) -> _Held:
-        """Returns the lease, and notes the reports."""
-        await self._pass()
-        store = self._world.store
+    async def read(self) -> _VersionedLease:
+        """Returns the lease, and updates the reports."""
+        await self._send()
+        store = self._simulation.store
         self.reports.update(store.reports)
         held = store.held()
-        await self._answered()
+        await self._receive()
         return held
 
     async def write(
         self, expect: int, row: LeaseRow, extra: Report | None = None
-    ) -> tuple[bool, _Held]:
+    ) -> tuple[bool, _VersionedLease]:
         """Writes the lease, and a report with it if there is one."""
         sent_at = anyio.current_time()
-        await self._pass()
-        store = self._world.store
-        rng = self._world.rng
+        await self._send()
+        store = self._simulation.store
+        rng = self._simulation.rng
         if rng.random() < store.late:
-            self._world.group.start_soon(
-                self._later, expect, row, extra, sent_at
+            self._simulation.group.start_soon(
+                self._execute_later, expect, row, extra, sent_at
             )
-            await self._silence()
+            await self._time_out()
         done = store.commit(expect, row, extra, sent_at)
         if rng.random() < store.lost:
-            await self._silence()
+            await self._time_out()
         held = store.held()
         if extra is not None and extra.window in store.reports:
             self.reports[extra.window] = store.reports[extra.window]
-        await self._answered()
+        await self._receive()
         return done, held
 
-    async def _later(self, *commit: Any) -> None:
-        await anyio.sleep(self._world.rng.uniform(1.0, 6.0))
-        self._world.store.commit(*commit)
+    async def _execute_later(self, *commit: Any) -> None:
+        await anyio.sleep(self._simulation.rng.uniform(1.0, 6.0))
+        self._simulation.store.commit(*commit)
 
-    async def _pass(self) -> None:
-        await anyio.sleep(self._world.rng.uniform(0.002, 0.02))
-        if self.cut or self._world.store.down:
-            await self._silence()
+    async def _send(self) -> None:
+        await anyio.sleep(self._simulation.rng.uniform(0.002, 0.02))
+        if self.cut or self._simulation.store.down:
+            await self._time_out()
 
-    async def _answered(self) -> None:
-        await anyio.sleep(self._world.rng.uniform(0.002, 0.02))
+    async def _receive(self) -> None:
+        await anyio.sleep(self._simulation.rng.uniform(0.002, 0.02))
         frozen_s, self.frozen_s = self.frozen_s, 0.0
         await anyio.sleep(frozen_s)
 
-    async def _silence(self) -> None:
+    async def _time_out(self) -> None:
         await anyio.sleep(STORE_TIMEOUT_S)
         raise StoreError("silent", retry_s=0.5)
 
 
-class NodeCalls:
-    """One instance's way to the platform's calls.
+class PlatformAccess:
+    """One instance's access to the platform.
 
     Attributes:
-        frozen_s: How long it stands still before its next call goes out.
+        frozen_s: How long the instance freezes before it sends the next call.
     """
 
-    def __init__(self, world: "DutyWorld", machine: str):
-        self._world = world
+    def __init__(self, simulation: "DutySimulation", machine: str):
+        self._simulation = simulation
         self._machine = machine
         self.frozen_s = 0.0
 
     async def report(self, report: Report, fence: int) -> Said:
-        """Reports a window's usage."""
-        judge = self._world.judge
+        """Reports the usage of a window."""
+        judge = self._simulation.judge
         return await self._call(
             lambda now, excused: judge.usage(
                 self._machine,
@@ -173,7 +175,7 @@
 
     async def order(self, order: Order, fence: int) -> Said:
         """Orders a number of servers."""
-        judge = self._world.judge
+        judge = self._simulation.judge
         place = (order.service, order.zone, order.preemptible)
         return await self._call(
             lambda now, excused: judge.scale(
@@ -181,51 +183,52 @@
             )
         )
 
-    async def _call(self, take) -> Said:
-        rng = self._world.rng
-        thawed = self.frozen_s > 0
+    async def _call(self, execute) -> Said:
+        rng = self._simulation.rng
+        was_frozen = self.frozen_s > 0
         frozen_s, self.frozen_s = self.frozen_s, 0.0
         await anyio.sleep(frozen_s + rng.uniform(0.002, 0.05))
-        if rng.random() < self._world.calls_late:
-            self._world.group.start_soon(self._later, take)
+        if rng.random() < self._simulation.calls_late:
+            self._simulation.group.start_soon(self._execute_later, execute)
             await anyio.sleep(CALL_S)
             return Said.NOTHING
-        status = take(anyio.current_time(), thawed)
-        if rng.random() < self._world.calls_lost:
+        status = execute(anyio.current_time(), was_frozen)
+        if rng.random() < self._simulation.calls_lost:
             await anyio.sleep(CALL_S)
             return Said.NOTHING
         return Said.CONFLICT if status == CONFLICT else Said.DONE
 
-    async def _later(self, take) -> None:
-        await anyio.sleep(self._world.rng.uniform(2.0, 12.0))
-        take(anyio.current_time(), True)
+    async def _execute_later(self, execute) -> None:
+        await anyio.sleep(self._simulation.rng.uniform(2.0, 12.0))
+        execute(anyio.current_time(), True)
 
 
-class SteadyOrders:
-    """Gives an order at each turn, so that turns of two would show."""
+class RepeatedOrders:
+    """Gives an order in each round, so that alternating holders show."""
 
     def __init__(self, desk: DutyDesk):
         self._desk = desk
         self._count = 0
 
-    def taken(self) -> None:
-        """Notes that this instance has just taken the duty."""
+    def on_lease_taken(self) -> None:
+        """Does nothing."""
 
     async def serve(self) -> None:
-        """Orders one server more than last time."""
+        """Orders one server more than before."""
         self._count += 1
         await self._desk.order(Order("engines", "a", False, self._count))
 
 
-class DutyWorld(InstanceWorld):
-    """Plays one seed of one day.
+class DutySimulation(InstanceWorld):
+    """Simulates one seed.
 
     Attributes:
-        judge: What the platform has seen.
-        truth: Requests that servers began, by window and organisation.
-        calls_lost: Part of the calls that are done and not answered.
-        calls_late: Part of the calls that are not answered and done later.
-        taken: Times at which an instance took the duty.
+        judge: Checks what the platform has received.
+        truth: Requests that servers started, by window and organisation.
+        calls_lost: Fraction of the calls that are executed without a response.
+        calls_late: Fraction of the calls that are executed later, without a
+            response.
+        taken: Times at which an instance took the lease.
     """
 
     def __init__(
@@ -238,18 +241,18 @@
     ):
         super().__init__(seed, count, faults=faults)
         self.judge = DutyJudge(checks_fences=checks_fences, lease_s=LEASE_S)
-        self.store = DutyStore(self)
+        self.store = SimulatedStore(self)
         self.truth: dict[int, collections.Counter[str]] = {}
         self.calls_lost = 0.0
         self.calls_late = 0.0
         self.taken: list[float] = []
         self._machines: dict[str, str] = {}
-        self._first = True
+        self._first_start = True
 
     def make(self, name: str) -> Duties:
-        """Makes the program's part of a new instance."""
+        """Returns the duties of a new instance."""
         now = anyio.current_time()
-        machine = self._free_machine()
+        machine = self._unused_machine()
         self._machines[name] = machine
         lease = Lease(
             LEASE_S * 2 / 3,
@@ -258,9 +261,9 @@
             turn_s=LEASE_S + CALL_S,
             started=now,
         )
-        rows = NodeRows(self)
+        rows = StoreAccess(self)
         keeper = LeaseKeeper(rows, lease, machine, name, anyio.current_time)
-        calls = NodeCalls(self, machine)
+        calls = PlatformAccess(self, machine)
         desk = DutyDesk(
             keeper, calls, 50.0, anyio.current_time, Quiet(), Quiet()
         )
@@ -283,8 +286,8 @@
         watch.reports = UsageReports(
             desk, rows, ledger, WINDOW_S, LATE_S, watch.true_s, Quiet(), Quiet()
         )
-        watch.orders = SteadyOrders(desk)
-        watch.first_start = self._first
+        watch.orders = RepeatedOrders(desk)
+        watch.first_start = self._first_start
         watch.rows = rows
         watch.calls = calls
         return watch
@@ -293,41 +296,41 @@
         """Runs an instance until it is cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(node.watch.run)
-            group.start_soon(self._serve_callers, node)
+            group.start_soon(self._start_requests, node)
             while True:
                 node.watch.saw_instances(self.members(node))
                 await anyio.sleep(0.1)
 
     def holders(self) -> list[Node]:
-        """Returns the instances that hold the duty."""
+        """Returns the instances that hold the lease."""
         return [node for node in self.alive if node.watch.holds]
 
     def victims(self) -> list[Node]:
-        """Returns the holder, mostly, or else all."""
+        """Returns the holder in most cases, or else all instances."""
         holders = self.holders()
         return holders if holders and self.rng.random() < 0.7 else self.alive
 
     async def run(self) -> None:
-        """Plays the day."""
+        """Runs the simulation."""
         async with anyio.create_task_group() as group:
             self.group = group
             for _ in range(self.count):
                 self.start_node()
-            self._first = False
+            self._first_start = False
             if self.faults:
-                group.start_soon(self.disturb, FAULTS_S)
-                group.start_soon(self._disturb_duties)
-            await anyio.sleep(DAY_S)
+                group.start_soon(self.disturb, FAULTS_DURATION_S)
+                group.start_soon(self._inject_faults)
+            await anyio.sleep(DURATION_S)
             group.cancel_scope.cancel()
 
     async def run_with_stops(self) -> None:
-        """Stops the holder again and again; its machine starts at once."""
+        """Stops each holder in turn; its machine starts a new instance."""
         async with anyio.create_task_group() as group:
             self.group = group
             for _ in range(self.count):
                 self.start_node()
-            self._first = False
-            while anyio.current_time() < FAULTS_S:
+            self._first_start = False
+            while anyio.current_time() < FAULTS_DURATION_S:
                 await anyio.sleep(self.rng.uniform(0.3, 1.5))
                 for node in self.holders():
                     node.watch.stop()
@@ -337,15 +340,15 @@
             group.cancel_scope.cancel()
 
     async def run_with_power_loss(self) -> None:
-        """Ends and starts all instances in the middle of the day."""
+        """Kills and restarts all instances halfway."""
         async with anyio.create_task_group() as group:
             self.group = group
             for _ in range(self.count):
                 self.start_node()
-            self._first = False
-            await anyio.sleep(DAY_S / 2)
+            self._first_start = False
+            await anyio.sleep(DURATION_S / 2)
             self.kill_all()
-            await anyio.sleep(DAY_S / 2)
+            await anyio.sleep(DURATION_S / 2)
             group.cancel_scope.cancel()
 
     def end_node(self, node: Node) -> None:
@@ -353,13 +356,13 @@
         super().end_node(node)
         self._machines.pop(node.name, None)
 
-    def _free_machine(self) -> str:
-        # A machine whose process has ended gets the next one.
+    def _unused_machine(self) -> str:
+        # A new process runs on the machine of one that has ended.
         used = set(self._machines.values())
         names = (f"m{number}" for number in range(10**6))
         return next(name for name in names if name not in used)
 
-    async def _serve_callers(self, node: Node) -> None:
+    async def _start_requests(self, node: Node) -> None:
         while True:
             await anyio.sleep(self.rng.uniform(0.1, 0.3))
             organisation = self.rng.choice(ORGANISATIONS)
@@ -368,32 +371,32 @@
             counts[organisation] += 1
             node.watch.began(organisation, 0.0)
 
-    async def _disturb_duties(self) -> None:
-        while anyio.current_time() < FAULTS_S:
+    async def _inject_faults(self) -> None:
+        while anyio.current_time() < FAULTS_DURATION_S:
             await anyio.sleep(self.rng.uniform(0.5, 3.0))
-            strike = self.rng.choice(
+            fault = self.rng.choice(
                 (
-                    self._store_down,
-                    self._store_lossy,
-                    self._turn_away,
-                    self._freeze,
-                    self._calls_lossy,
+                    self._stop_store,
+                    self._make_store_lossy,
+                    self._cut_from_store,
+                    self._freeze_holders,
+                    self._make_calls_lossy,
                     self._stop_two,
                 )
             )
-            await strike()
+            await fault()
 
-    async def _store_down(self) -> None:
+    async def _stop_store(self) -> None:
         self.store.down = True
         await anyio.sleep(self.rng.uniform(0.5, 5.0))
         self.store.down = False
 
-    async def _store_lossy(self) -> None:
+    async def _make_store_lossy(self) -> None:
         self.store.lost, self.store.late = 0.3, 0.2
         await anyio.sleep(self.rng.uniform(1.0, 5.0))
         self.store.lost = self.store.late = 0.0
 
-    async def _turn_away(self) -> None:
+    async def _cut_from_store(self) -> None:
         nodes = self.holders() or self.alive
         for node in nodes:
             node.watch.rows.cut = True
@@ -401,12 +404,12 @@
         for node in nodes:
             node.watch.rows.cut = False
 
-    async def _freeze(self) -> None:
+    async def _freeze_holders(self) -> None:
         for node in self.holders():
-            where = self.rng.choice((node.watch.rows, node.watch.calls))
-            where.frozen_s = self.rng.uniform(0.5, 6.0)
+            target = self.rng.choice((node.watch.rows, node.watch.calls))
+            target.frozen_s = self.rng.uniform(0.5, 6.0)
 
-    async def _calls_lossy(self) -> None:
+    async def _make_calls_lossy(self) -> None:
         self.calls_lost, self.calls_late = 0.2, 0.3
         await anyio.sleep(self.rng.uniform(1.0, 5.0))
         self.calls_lost = self.calls_late = 0.0
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,6 +1,7 @@
-"""Duties that one instance at a time does, whoever dies, freezes or is cut off.
+"""Duties that one instance at a time performs, despite faults.
 
-Run with more seeds by hand: `python -m tests.test_duties 400 6`.
+More seeds are simulated by `python -m tests.test_duties SEEDS INSTANCES`, for
+example `python -m tests.test_duties 400 6`.
 """
 
 import sys
@@ -8,94 +9,97 @@
 
 from jasminerelay import duties, dutydesk, fencing, freshness, leasing
 from tests import virtualtime
-from tests.dutyworld import DAY_S, LATE_S, WINDOW_S, DutyWorld
+from tests.dutyworld import DURATION_S, LATE_S, WINDOW_S, DutySimulation
 
 MODULES = (duties, dutydesk, fencing, freshness, leasing)
 SEEDS = 12
 
 
-def play(seed: int, count: int, **options: bool) -> DutyWorld:
-    """Plays one seed; returns the world after it."""
-    world = DutyWorld(seed, count, **options)
-    virtualtime.run(world.run, MODULES)
-    return world
+def simulate(seed: int, count: int, **options: bool) -> DutySimulation:
+    """Simulates one seed; returns the simulation after it."""
+    simulation = DutySimulation(seed, count, **options)
+    virtualtime.run(simulation.run, MODULES)
+    return simulation
 
 
 def due_windows() -> range:
-    """Returns the windows whose reports are due within the day."""
-    return range(int((DAY_S - LATE_S) // WINDOW_S))
+    """Returns the windows whose reports are due within the simulation."""
+    return range(int((DURATION_S - LATE_S) // WINDOW_S))
 
 
-class DutyModelTest(unittest.TestCase):
-    """One holder at a time, and one report a window."""
+class DutySimulationTest(unittest.TestCase):
+    """One holder at a time, and one report per window."""
 
-    def test_calm_day(self) -> None:
+    def test_without_faults(self) -> None:
         for count in (6, 30):
             with self.subTest(count=count):
-                world = play(1, count, faults=False)
-                self.assertEqual(world.judge.broken, [])
+                simulation = simulate(1, count, faults=False)
+                self.assertEqual(simulation.judge.broken, [])
                 for window in due_windows():
                     self.assertEqual(
-                        world.judge.reports[window],
-                        dict(world.truth.get(window, {})),
+                        simulation.judge.reports[window],
+                        dict(simulation.truth.get(window, {})),
                     )
                     due = (window + 1) * WINDOW_S + LATE_S
-                    self.assertLess(world.judge.reported_at[window], due)
+                    self.assertLess(simulation.judge.reported_at[window], due)
 
-    def test_one_holder_whatever_fails(self) -> None:
-        # Guards against two reports of a window, a number that two instances
-        # use and instances that act in turns: killed, frozen, cut off, stopped
-        # two at once, calls and writes done late, the store away.
+    def test_one_holder_under_faults(self) -> None:
+        # Guards against two reports of a window, a fencing token used by two
+        # instances, and holders that alternate within the lease. Instances are
+        # killed, frozen, partitioned and stopped two at once; calls and writes
+        # are executed late; the store is unavailable.
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                self.assertEqual(play(seed, 6).judge.broken, [])
+                self.assertEqual(simulate(seed, 6).judge.broken, [])
 
-    def test_platform_that_checks_no_numbers(self) -> None:
-        # Guards against a lower number after a higher one.
+    def test_platform_without_fencing(self) -> None:
+        # Guards against a lower fencing token after a higher one.
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                world = play(seed, 6, checks_fences=False)
-                self.assertEqual(world.judge.broken, [])
+                simulation = simulate(seed, 6, checks_fences=False)
+                self.assertEqual(simulation.judge.broken, [])
 
-    def test_stale_holder_renews_nothing(self) -> None:
+    def test_frozen_holder_does_not_renew(self) -> None:
         # Guards against a holder that was frozen in the middle of its round,
-        # and takes the lease from its next holder as it goes on.
-        self.assertEqual(play(23, 6).judge.broken, [])
+        # and on resuming takes the lease from its successor.
+        self.assertEqual(simulate(23, 6).judge.broken, [])
 
-    def test_no_turns_after_a_restart(self) -> None:
-        # Guards against a machine that stops, hands the duty on and has it
-        # back within the time in which two may not act in turns.
+    def test_no_alternation_after_a_restart(self) -> None:
+        # Guards against a machine that stops, hands over the lease and takes it
+        # back within the time in which holders must not alternate.
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                world = DutyWorld(seed, 6, faults=False)
-                virtualtime.run(world.run_with_stops, MODULES)
-                self.assertEqual(world.judge.broken, [])
+                simulation = DutySimulation(seed, 6, faults=False)
+                virtualtime.run(simulation.run_with_stops, MODULES)
+                self.assertEqual(simulation.judge.broken, [])
 
-    def test_no_report_without_what_was_lost(self) -> None:
-        # Guards against a report that lacks all that was counted before all
-        # instances lost power at once.
-        world = DutyWorld(3, 6, faults=False)
-        virtualtime.run(world.run_with_power_loss, MODULES)
-        for window, counts in world.judge.reports.items():
-            self.assertEqual(counts, dict(world.truth.get(window, {})))
-        self.assertLess(len(world.judge.reports), len(due_windows()))
+    def test_no_report_after_loss_of_counts(self) -> None:
+        # Guards against a report that lacks what was counted before a power
+        # loss of all instances.
+        simulation = DutySimulation(3, 6, faults=False)
+        virtualtime.run(simulation.run_with_power_loss, MODULES)
+        for window, counts in simulation.judge.reports.items():
+            self.assertEqual(counts, dict(simulation.truth.get(window, {})))
+        self.assertLess(len(simulation.judge.reports), len(due_windows()))
 
 
 def main() -> None:
-    """Plays many seeds: the count, then how many instances."""
+    """Simulates many seeds; arguments: how many, and how many instances."""
     seeds, count = int(sys.argv[1]), int(sys.argv[2])
     bad = []
     due = missed = wrong = 0
     for seed in range(seeds):
         for checks in (True, False):
-            world = play(seed, count, checks_fences=checks)
-            if world.judge.broken:
-                bad.append((seed, checks, world.judge.broken[:2]))
+            simulation = simulate(seed, count, checks_fences=checks)
+            if simulation.judge.broken:
+                bad.append((seed, checks, simulation.judge.broken[:2]))
         for window in due_windows():
             due += 1
-            told = world.judge.reports.get(window)
-            missed += told is None
-            wrong += told is not None and told != dict(world.truth[window])
+            reported = simulation.judge.reports.get(window)
+            missed += reported is None
+            wrong += reported is not None and reported != dict(
+                simulation.truth[window]
+            )
     print(f"{seeds} seeds, {count} instances: {len(bad)} bad {bad[:5]}")
     print(f"of {due} windows {missed} missed, {wrong} not exact")
 
--- a/tests/test_placements.py
+++ b/tests/test_placements.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers: the manifest wins, whoever was frozen."""
+"""Orders to backend servers, and the lease under which they are given."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """Holders over a row, with freezes at any place."""
+    """Several holders of one row, with freezes at any point."""
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(
@@ -26,13 +26,13 @@
             max_size=60,
         )
     )
-    def test_no_two_order_at_once(self, steps) -> None:
-        # Each step: one instance looks, then perhaps writes; its write takes
-        # a while, as if it were frozen between the effect and the answer.
+    def test_at_most_one_may_order(self, schedule) -> None:
+        # In each step, one instance reads the row and may write it; the write
+        # takes a while, like a freeze between its effect and its response.
         leases = [Lease(LEASE_S, ORDER_S) for _ in range(3)]
         now, version = 0.0, 0
         orders: list[tuple[float, int]] = []
-        for index, pause, freeze in steps:
+        for index, pause, freeze in schedule:
             now += pause
             lease = leases[index]
             if not lease.holds(now):
@@ -42,23 +42,23 @@
                 started = now
                 version += 1
                 now += freeze
-                lease.wrote(version, started)
-            for other, item in enumerate(leases):
-                if item.may_order(now):
-                    orders.append((now, other))
-            holders = {who for at, who in orders if at > now - ORDER_S}
+                lease.record_write(version, started)
+            for holder_index, other_lease in enumerate(leases):
+                if other_lease.may_order(now):
+                    orders.append((now, holder_index))
+            holders = {holder for at, holder in orders if at > now - ORDER_S}
             self.assertLessEqual(len(holders), 1)
 
-    def test_counts_from_before_the_write(self) -> None:
+    def test_lease_counts_from_before_the_write(self) -> None:
         lease = Lease(LEASE_S, ORDER_S)
-        lease.wrote(1, started=0.0)
+        lease.record_write(1, started=0.0)
         self.assertTrue(lease.may_order(5.0))
         self.assertFalse(lease.may_order(6.5))
         self.assertFalse(lease.holds(8.5))
 
 
 class PlacementCase(SystemCase):
-    """Two engines: the first checks fencing numbers, the second does not."""
+    """Two engines: the first checks fencing tokens, the second does not."""
 
     options = Options(
         daemons=3,
@@ -75,7 +75,7 @@
     )
 
     def placed(self, version: str) -> str:
-        """Returns the manifest with placements."""
+        """Returns the manifest with placements of a model version."""
         return self.system.manifest.replace(
             "[[classes]]", "weight_loads_per_s = 4.0\n\n[[classes]]", 1
         ) + "".join(
@@ -101,14 +101,15 @@
 
 
 class FrozenHolderTest(PlacementCase):
-    """The holder of the lease is frozen past its end."""
-
-    def test_the_manifest_wins(self) -> None:
-        # The holder is frozen; the manifest changes; another instance takes
-        # the lease and gives the new orders. The first thaws and changes
-        # nothing. An order of its that was still on its way is refused by
-        # the engine that checks; the other takes it, and the holder repairs
-        # that. The weight store is never asked faster than its limit.
+    """The holder of the lease is frozen until the lease has expired."""
+
+    def test_manifest_is_restored_after_a_freeze(self) -> None:
+        # The holder is frozen, the manifest changes, and another instance takes
+        # the lease and gives the new orders. The first holder resumes and must
+        # change nothing. A late order of it is refused by the engine that
+        # checks fencing tokens; the other engine executes it, and the current
+        # holder repairs that. The rate limit of the weight store holds
+        # throughout.
         daemons = self.system.daemons
         self.system.apply(self.placed("one"))
         wait_for(lambda: self.versions() == ["one", "one"])
@@ -148,7 +149,7 @@
         fences = [order["fence"] for order in orders]
         self.assertEqual(fences, sorted(fences))
         weights = self.system.processes["weights"].url + "/stats"
-        # The late order of this test is the only one that may be refused.
+        # Only the late order of this test may be refused.
         self.assertLessEqual(call("GET", weights)[1]["refused"], 1)
 
 
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -1,4 +1,4 @@
-"""Duties on the platform's interface: settings, calls, rows, reports."""
+"""Duties on the platform's interface: settings, calls, rows and reports."""
 
 import json
 import unittest
@@ -44,20 +44,20 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Which duties there are, and by what they go."""
+    """Settings of the duties."""
 
     def test_no_duties(self) -> None:
         boot = bootfile.parse(settings(), "f").unwrap()
         self.assertIsNone(boot.duty_calls)
 
-    def test_one_duty_and_others_that_are_not_known(self) -> None:
+    def test_known_and_unknown_duties(self) -> None:
         text = '[cloudApi]\naddress = "127.0.0.1:5"\n'
         text += 'duties = ["usage_report", "tea"]'
         rules = bootfile.parse(settings(text), "f").unwrap().duty_calls
         self.assertTrue(rules.usage)
         self.assertFalse(rules.servers)
 
-    def test_lengths(self) -> None:
+    def test_durations(self) -> None:
         text = '[cloudApi]\naddress = "127.0.0.1:5"\ndutyPerS = 2'
         bounds = "leaseMs = 1500\nwindowS = 60\nusageLateS = 20"
         parsed = bootfile.parse(settings(text, bounds), "f").unwrap()
@@ -67,7 +67,7 @@
             (1.5, 60, 20, 2),
         )
 
-    def test_a_wrong_field_says_how_to_mend_it(self) -> None:
+    def test_invalid_field_names_the_remedy(self) -> None:
         text = '[cloudApi]\naddress = "127.0.0.1:5"'
         for bounds in ("leaseMs = 0", "windowS = -5", "usageLateS = 0"):
             with self.subTest(bounds=bounds):
@@ -76,13 +76,13 @@
                 self.assertIn("bounds.", str(problem))
                 self.assertIn("mend the field", str(problem))
 
-    def test_an_address_without_a_port(self) -> None:
+    def test_address_without_a_port(self) -> None:
         text = '[cloudApi]\naddress = "nowhere"'
         self.assertTrue(bootfile.parse(settings(text), "f").is_err())
 
 
 class DocumentsTest(unittest.TestCase):
-    """What the configuration and the servers' rows say of orders."""
+    """Autoscaling in the configuration."""
 
     def test_scaling(self) -> None:
         service = {
@@ -102,21 +102,21 @@
         self.assertEqual(scaling.preemptible_price, 0.22)
         self.assertEqual(scaling.zone_prices, {"a": 1.0, "b": 0.8})
 
-    def test_a_service_whose_servers_are_not_ordered(self) -> None:
+    def test_service_without_autoscaling(self) -> None:
         body = {"version": 1, "routes": [], "backends": [{"name": "s"}]}
         catalog = documents.catalog(json.dumps(body).encode())
         self.assertIsNone(catalog.services["s"].scaling)
 
 
 class _Client:
-    """Keeps what is sent, and answers as told."""
+    """Records the requests sent, and returns or raises a given result."""
 
     def __init__(self, answer):
         self.answer = answer
         self.sent: list[Exchange] = []
 
     async def call(self, exchange: Exchange) -> Reply:
-        """Takes a call."""
+        """Receives a request."""
         self.sent.append(exchange)
         if isinstance(self.answer, Exception):
             raise self.answer
@@ -124,10 +124,10 @@
 
 
 class DutyApiTest(unittest.IsolatedAsyncioTestCase):
-    """The calls' words, and what their answers mean."""
+    """The bodies of the calls, and the meaning of the responses."""
 
     async def said(self, answer) -> Said:
-        """Reports usage; returns what the answer is taken for."""
+        """Reports usage; returns the result for a response."""
         self.client = _Client(answer)
         api = DutyApi(self.client, "127.0.0.1:5", "edge-1", 0.5, Quiet())
         return await api.report(Report(7, {"elm": 2}), 12)
@@ -160,8 +160,9 @@
             ],
         )
 
-    async def test_answers(self) -> None:
-        # Guards against a call taken for not done that may still be done.
+    async def test_responses(self) -> None:
+        # Guards against a call that counts as not executed although it may
+        # still be executed.
         for answer, said in (
             (409, Said.CONFLICT),
             (429, Said.BUSY),
@@ -182,7 +183,7 @@
         self.lose_next = False
 
     async def call(self, exchange: Exchange) -> Reply:
-        """Takes a call."""
+        """Sends a request to the store."""
         path, _, query = exchange.url.removeprefix("http://x").partition("?")
         scope = {
             "type": "http",
@@ -209,7 +210,7 @@
 
 
 class DutyTableTest(unittest.IsolatedAsyncioTestCase):
-    """The lease and the reports in the store."""
+    """The lease and the decided reports in the store."""
 
     def setUp(self) -> None:
         self.store = PlatformStore()
@@ -217,10 +218,10 @@
         self.tables = [self.table() for _ in range(2)]
 
     def table(self) -> DutyTable:
-        """Returns an instance's way to the table."""
+        """Returns an instance's access to the table."""
         return DutyTable(Store(self.client, "x"), Quiet())
 
-    async def test_only_who_has_the_version_writes(self) -> None:
+    async def test_write_needs_the_current_version(self) -> None:
         first, second = self.tables
         await first.read()
         done, held = await first.write(0, LeaseRow("a", "a/1", "t1"))
@@ -229,9 +230,9 @@
         self.assertFalse(done)
         self.assertEqual((found.version, found.row.token), (held.version, "t1"))
 
-    async def test_a_report_is_decided_once(self) -> None:
-        # Guards against two reports of one window: the write of the first
-        # had no answer, and the next holder counts otherwise.
+    async def test_report_is_decided_once(self) -> None:
+        # Guards against two reports of one window: the first holder's write got
+        # no response, and the next holder has different counts.
         first, second = self.tables
         await first.read()
         _, held = await first.write(0, LeaseRow("a", "a/1", "t1"))
@@ -247,7 +248,7 @@
         self.assertFalse(done)
         self.assertEqual(second.reports[7], {"elm": 2})
 
-    async def test_age_by_the_store(self) -> None:
+    async def test_age_by_the_clock_of_the_store(self) -> None:
         first, second = self.tables
         await first.read()
         await first.write(0, LeaseRow("a", "a/1", "t1"))
@@ -256,7 +257,7 @@
         self.assertGreaterEqual(found.age_s, 0.09)
         self.assertLess(found.age_s, 1.0)
 
-    async def test_given_up_is_free_at_once(self) -> None:
+    async def test_released_lease_is_free_at_once(self) -> None:
         first, second = self.tables
         await first.read()
         await first.write(0, LeaseRow("a", "a/1", "t1", given_up=True))
@@ -264,7 +265,7 @@
 
 
 class ReportsTest(PlatformCase):
-    """Instances on the platform's interface report what servers began."""
+    """Instances on the platform's interface report the requests started."""
 
     options = SiteOptions(
         engines=1,
@@ -296,7 +297,7 @@
             self.assertEqual(judge.broken, [])
 
     def reported(self, judge) -> int:
-        """Returns the requests in all reports."""
+        """Returns the number of requests in all reports."""
         return sum(sum(counts.values()) for counts in judge.reports.values())
 
 
