--- a/src/jasminerelay/scaling.py
+++ b/src/jasminerelay/scaling.py
@@ -1,13 +1,15 @@
-"""How many servers of a service to order, of which kind and where.
-
-Pure. Pattern: a kind of long prompts comes at three times its rate for some
-seconds, and a server boots for nearly as long as half of that. Whoever orders
-only what is missing now has it when the burst is over; so servers stand ready
-beyond the present work, the more of them the less they cost. Preemptible ones
-cost a fifth, and a whole availability zone of them may go at a few seconds'
-notice and not come back for a while. They do the work, spread evenly over the
-zones. Usual servers fill only what the present work lacks: until the others
-have booted, and while some are taken away.
+"""Plans how many servers of a service to order, of which kind and where.
+
+Without I/O. Load comes in bursts: long prompts may arrive at three times their
+rate for some seconds, and booting a server takes nearly half as long as a burst
+lasts. Servers ordered only when they are missing would boot too late, so spare
+servers are kept running, the more of them the cheaper they are.
+
+Preemptible servers cost a fifth, but all of those in an availability zone may
+be withdrawn at a few seconds' notice and stay unavailable for a while. They
+serve the load, spread evenly over the zones. On-demand servers only cover what
+the present load lacks, until preemptible ones have booted and while some are
+withdrawn.
 """
 
 import dataclasses
@@ -16,53 +18,54 @@
 
 from jasminerelay.catalog import BackendServer, Scaling
 
-USE = 0.7
-"""Part of the servers that the present work may fill, where they cost the full
-price: above it waits grow faster than the work."""
+MAX_UTILISATION = 0.7
+"""Fraction of on-demand servers that the load may occupy; above it, waiting
+times grow faster than the load."""
 
 SPARE_BUDGET = 0.3
-"""Servers beyond the present work, at the full price and as a part of it, that
-may stand ready. Where they cost a fifth, five times as many stand for it."""
+"""Spare servers at the on-demand price, as a fraction of the load. At a fifth
+of the price, five times as many are kept."""
 
-MOST_SPARE = 2.0
-"""Bound on what stands ready, as a part of the present work."""
+MAX_SPARE_SHARE = 2.0
+"""Upper bound of spare servers, as a fraction of the load."""
 
-HOLD_S = 20.0
-"""How long fewer servers must do before any are sent away: a wave of the work
-takes a server's cache with it, and those that come back read it all again."""
+SHRINK_DELAY_S = 20.0
+"""How long fewer servers must suffice before any are removed. Each removal
+loses a KV cache, which a periodic load would have to fill again."""
 
-SHRINK_SHARE = 0.15
-"""Part by which fewer must do; less is not worth a cold cache."""
+MIN_SHRINK_SHARE = 0.15
+"""Fraction of servers that must be dispensable; fewer are not worth a cold
+cache."""
 
-STEADY_S = 2.0
-"""How long no further server must show before the first order."""
+DISCOVERY_S = 2.0
+"""Time without a newly registered server after which orders may begin."""
 
 BOOT_SLACK_S = 2.0
-"""Time beyond its boot in which an ordered server may show."""
+"""Time beyond its boot within which an ordered server must appear."""
 
-RETRY_S = 3.0
-"""Pause before preemptible servers are ordered again where none were had."""
+PREEMPTIBLE_RETRY_S = 3.0
+"""Pause before preemptible servers are ordered again after a refusal."""
 
-LACK_SHARE = 0.1
-"""Part of the servers that the present work needs whose lack is let be: one
-that has crashed is back before another one has booted."""
+TOLERATED_SHORTFALL_SHARE = 0.1
+"""Fraction of the needed servers whose absence is tolerated: a crashed server
+is back before a new one has booted."""
 
-SPARE_FOR_S = 2.0
-"""How long usual servers must be more than needed before they go."""
+SURPLUS_DELAY_S = 2.0
+"""How long on-demand servers must exceed the need before they are removed."""
 
-REFUSED_LIFE_S = 2 * RETRY_S
-"""How long after that there are taken to be none."""
+REFUSAL_TTL_S = 2 * PREEMPTIBLE_RETRY_S
+"""How long preemptible servers count as unavailable after a refusal."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """A number of servers that is wanted.
+    """The desired number of servers of one kind in one zone.
 
     Attributes:
-        service: The service.
-        zone: The availability zone.
-        preemptible: The kind of servers.
-        count: How many of that kind there are to be.
+        service: Name of the service.
+        zone: Availability zone.
+        preemptible: Whether the servers are preemptible.
+        count: Number of servers, including those that run already.
     """
 
     service: str
@@ -72,60 +75,60 @@
 
 
 @dataclasses.dataclass
-class _Kind:
+class _Pool:
     """Servers of one kind in one zone.
 
     Attributes:
-        ordered: How many were ordered; None before the first order.
-        raised_at: When more were last ordered.
-        refused_at: When there were none to be had.
-        there: How many take requests.
+        ordered: Number last ordered; None before the first order.
+        scaled_up_at: Monotonic time of the last order of additional servers.
+        refused_at: Monotonic time of the last refusal.
+        there: Number of servers that accept requests.
     """
 
     ordered: int | None = None
-    raised_at: float = -math.inf
+    scaled_up_at: float = -math.inf
     refused_at: float = -math.inf
     there: int = 0
 
     @property
-    def wanted(self) -> int:
-        """How many there are to be by the last order."""
+    def desired(self) -> int:
+        """Number of servers according to the last order."""
         return self.there if self.ordered is None else self.ordered
 
 
 class ServerPlanner:
-    """Plans one service's servers from what is known of its work.
+    """Plans the servers of one service from its load.
 
     Example:
         >>> planner = ServerPlanner("chat")
         >>> scaling = Scaling(1, 9, 4.0, 0.2, {"a": 1.0})
-        >>> planner.plan(scaling, [], 2.0, now=0.0)
-        [Order(service='chat', zone='a', preemptible=False, count=3), \
-Order(service='chat', zone='a', preemptible=True, count=6)]
+        >>> orders = planner.plan(scaling, [], 2.0, now=0.0)
+        >>> [(order.preemptible, order.count) for order in orders]
+        [(False, 3), (True, 6)]
     """
 
     def __init__(self, service: str):
-        """Makes the planner of one that has just taken the duty.
+        """Creates a planner for an instance that has just taken the lease.
 
         Args:
-            service: The service.
+            service: Name of the service.
         """
         self._service = service
-        self._kinds: dict[tuple[str, bool], _Kind] = {}
-        self._began: float | None = None
-        self._first = 0
-        self._first_at = -math.inf
-        self._ordered = False
-        self._worked = False
+        self._pools: dict[tuple[str, bool], _Pool] = {}
+        self._started_at: float | None = None
+        self._initial_count = 0
+        self._initial_changed_at = -math.inf
+        self._has_ordered = False
+        self._had_work = False
         self._target = 0
-        self._enough_since: float | None = None
-        self._most_needed = 0
-        self._spare_since: float | None = None
-        self._exchanged_at = -math.inf
+        self._shrinkable_since: float | None = None
+        self._peak_needed = 0
+        self._surplus_since: float | None = None
+        self._last_exchange_at = -math.inf
 
     @property
     def target(self) -> int:
-        """Servers that there are to be in all zones together."""
+        """Desired number of servers in all zones together."""
         return self._target
 
     def plan(
@@ -135,56 +138,58 @@
         work: float,
         now: float,
     ) -> list[Order]:
-        """Returns what is to be ordered now.
+        """Returns the orders to be given now.
 
         Args:
-            scaling: What may be ordered.
-            servers: The service's servers that take requests.
-            work: Servers that the present requests would fill.
-            now: Steady time.
+            scaling: Bounds and prices of the service's servers.
+            servers: The service's servers that accept requests.
+            work: Number of servers that the present requests would occupy.
+            now: Monotonic time.
         """
-        if self._began is None:
-            self._began = now
-        self._count(scaling, servers)
-        if not self._is_steady(work, now):
+        if self._started_at is None:
+            self._started_at = now
+        self._count_servers(scaling, servers)
+        if not self._is_discovery_done(work, now):
             return []
-        self._aim(scaling, work, now)
-        # Cheaper zones come first where a number cannot be shared evenly.
+        self._update_target(scaling, work, now)
+        # Cheaper zones get the remainder of an uneven division.
         prices = scaling.zone_prices
         zones = sorted(prices, key=lambda zone: (prices[zone], zone))
-        parts = _even(self._target, zones, scaling.least, scaling.most)
+        parts = _spread_evenly(self._target, zones, scaling.least, scaling.most)
         if scaling.preemptible_price is None:
-            return self._changes(False, parts, scaling, now)
-        gone = {zone for zone in zones if self._is_gone(zone, scaling, now)}
-        usual = self._usual(scaling, work, zones, gone, now)
-        cheap = {
-            # One order goes on to find out when there are some again.
+            return self._due_orders(False, parts, scaling, now)
+        gone = {
+            zone for zone in zones if self._is_unavailable(zone, scaling, now)
+        }
+        on_demand = self._on_demand_counts(scaling, work, zones, gone, now)
+        preemptible_counts = {
+            # An unavailable zone keeps one on order to show when it is back.
             zone: min(
                 1 if zone in gone else parts[zone],
-                max(0, scaling.most - usual[zone]),
+                max(0, scaling.most - on_demand[zone]),
             )
             for zone in zones
         }
         orders = [
-            *self._changes(False, usual, scaling, now),
-            *self._changes(True, cheap, scaling, now),
+            *self._due_orders(False, on_demand, scaling, now),
+            *self._due_orders(True, preemptible_counts, scaling, now),
         ]
-        # Fewer first: both kinds together are bounded.
-        return sorted(orders, key=self._adds)
+        # Decreases first, since both kinds together are bounded.
+        return sorted(orders, key=self._is_increase)
 
-    def _adds(self, order: Order) -> bool:
-        kind = self._kind(order.zone, order.preemptible)
-        return order.count > kind.wanted
+    def _is_increase(self, order: Order) -> bool:
+        kind = self._pool(order.zone, order.preemptible)
+        return order.count > kind.desired
 
-    def _is_gone(self, zone: str, scaling: Scaling, now: float) -> bool:
-        """Returns whether a zone's preemptible servers were taken away."""
-        cheap = self._kind(zone, True)
-        if now - cheap.refused_at < REFUSED_LIFE_S:
+    def _is_unavailable(self, zone: str, scaling: Scaling, now: float) -> bool:
+        """Returns whether a zone's preemptible servers were withdrawn."""
+        pool = self._pool(zone, True)
+        if now - pool.refused_at < REFUSAL_TTL_S:
             return True
-        booting = self._booting(cheap, scaling, now)
-        return cheap.wanted > 0 and not cheap.there and not booting
+        booting = self._booting(pool, scaling, now)
+        return pool.desired > 0 and not pool.there and not booting
 
-    def _usual(
+    def _on_demand_counts(
         self,
         scaling: Scaling,
         work: float,
@@ -192,150 +197,167 @@
         gone: set[str],
         now: float,
     ) -> dict[str, int]:
-        """Returns the usual servers that there are to be, by zone."""
-        cheap = [self._kind(zone, True) for zone in zones]
-        booting = sum(self._booting(kind, scaling, now) for kind in cheap)
-        wanted = {zone: self._kind(zone, False).wanted for zone in zones}
-        present = sum(kind.there for kind in self._kinds.values())
-        needed = min(self._target, math.ceil(work / USE)) or self._first
-        lacked = needed - booting - sum(kind.there for kind in cheap)
-        lacked -= sum(wanted.values())
-        if lacked > max(1, needed * LACK_SHARE):
-            self._spare_since = None
-            places = sorted(zones, key=lambda zone: zone not in gone)
-            room = {
-                zone: scaling.most - (1 if zone in gone else cheap[i].wanted)
+        """Returns the desired on-demand servers by zone."""
+        preemptible_pools = [self._pool(zone, True) for zone in zones]
+        booting = sum(
+            self._booting(kind, scaling, now) for kind in preemptible_pools
+        )
+        desired = {zone: self._pool(zone, False).desired for zone in zones}
+        present = sum(kind.there for kind in self._pools.values())
+        needed = (
+            min(self._target, math.ceil(work / MAX_UTILISATION))
+            or self._initial_count
+        )
+        shortfall = (
+            needed - booting - sum(kind.there for kind in preemptible_pools)
+        )
+        shortfall -= sum(desired.values())
+        if shortfall > max(1, needed * TOLERATED_SHORTFALL_SHARE):
+            self._surplus_since = None
+            zones_by_need = sorted(zones, key=lambda zone: zone not in gone)
+            capacity = {
+                zone: scaling.most
+                - (1 if zone in gone else preemptible_pools[i].desired)
                 for i, zone in enumerate(zones)
             }
-            return _added(lacked, wanted, {zone: room[zone] for zone in places})
-        spare = min(present - needed, sum(wanted.values()))
-        if spare <= 0:
-            self._spare_since = None
-            if not self._settled(scaling, now):
-                return wanted
-            return self._exchanged(scaling, work, wanted, gone, present, now)
-        if self._spare_since is None:
-            self._spare_since = now
-        settled = self._settled(scaling, now)
-        if now - self._spare_since < SPARE_FOR_S or not settled:
-            return wanted
-        self._spare_since = None
-        return _removed(spare, wanted)
-
-    def _exchanged(
+            return _add_servers(
+                shortfall,
+                desired,
+                {zone: capacity[zone] for zone in zones_by_need},
+            )
+        surplus = min(present - needed, sum(desired.values()))
+        if surplus <= 0:
+            self._surplus_since = None
+            if not self._is_takeover_settled(scaling, now):
+                return desired
+            return self._exchange(scaling, work, desired, gone, present, now)
+        if self._surplus_since is None:
+            self._surplus_since = now
+        settled = self._is_takeover_settled(scaling, now)
+        if now - self._surplus_since < SURPLUS_DELAY_S or not settled:
+            return desired
+        self._surplus_since = None
+        return _remove_servers(surplus, desired)
+
+    def _exchange(
         self,
         scaling: Scaling,
         work: float,
-        wanted: dict[str, int],
+        desired: dict[str, int],
         gone: set[str],
         present: int,
         now: float,
     ) -> dict[str, int]:
-        """Makes room for preemptible servers where there are some again.
+        """Removes on-demand servers where preemptible ones are available again.
 
-        Both kinds together are bounded, so some of the usual ones have to go
-        first; as many stay as the work fills.
+        As both kinds together are bounded, preemptible servers can only be
+        ordered after on-demand ones are removed. As many stay as the load
+        occupies.
         """
-        back = {
+        freeable = {
             zone: math.ceil(count / 2)
-            for zone, count in wanted.items()
-            if zone not in gone and self._kind(zone, True).wanted
+            for zone, count in desired.items()
+            if zone not in gone and self._pool(zone, True).desired
         }
-        free = present - (math.ceil(work) if self._worked else self._first)
-        if not any(back.values()) or free <= 0:
-            return wanted
-        if now - self._exchanged_at < scaling.boot_s + BOOT_SLACK_S:
-            return wanted
-        self._exchanged_at = now
-        left = dict(wanted)
-        for zone, count in back.items():
+        free = present - (
+            math.ceil(work) if self._had_work else self._initial_count
+        )
+        if not any(freeable.values()) or free <= 0:
+            return desired
+        if now - self._last_exchange_at < scaling.boot_s + BOOT_SLACK_S:
+            return desired
+        self._last_exchange_at = now
+        remaining = dict(desired)
+        for zone, count in freeable.items():
             fewer = min(count, free)
-            left[zone] -= fewer
+            remaining[zone] -= fewer
             free -= fewer
-        return left
+        return remaining
 
     def accepted(self, order: Order, now: float) -> None:
-        """Notes that an order was taken, or may have been."""
-        kind = self._kind(order.zone, order.preemptible)
-        self._ordered = True
+        """Records an order that was executed, or may have been."""
+        kind = self._pool(order.zone, order.preemptible)
+        self._has_ordered = True
         if order.count > kind.there:
-            kind.raised_at = now
+            kind.scaled_up_at = now
             kind.refused_at = -math.inf
         kind.ordered = order.count
 
     def refused(self, order: Order, now: float) -> None:
-        """Notes that there are none of these servers for now."""
-        self._kind(order.zone, order.preemptible).refused_at = now
+        """Records that servers of this kind are unavailable for now."""
+        self._pool(order.zone, order.preemptible).refused_at = now
 
-    def _kind(self, zone: str, preemptible: bool) -> _Kind:
-        return self._kinds.setdefault((zone, preemptible), _Kind())
+    def _pool(self, zone: str, preemptible: bool) -> _Pool:
+        return self._pools.setdefault((zone, preemptible), _Pool())
 
-    def _count(
+    def _count_servers(
         self, scaling: Scaling, servers: Iterable[BackendServer]
     ) -> None:
-        for kind in self._kinds.values():
+        for kind in self._pools.values():
             kind.there = 0
         for server in servers:
-            self._kind(server.zone, server.preemptible).there += 1
+            self._pool(server.zone, server.preemptible).there += 1
 
-    def _is_steady(self, work: float, now: float) -> bool:
-        """Returns whether the servers that were there at first are known.
+    def _is_discovery_done(self, work: float, now: float) -> bool:
+        """Returns whether the servers that ran initially are known.
 
-        Rows come one after another as servers, or all of the platform, start.
-        Who orders by the first few sends the others away.
+        When servers or the whole platform start, their rows appear one by one.
+        Orders based on the first few rows would remove all other servers.
         """
-        if self._first and (work or self._ordered):
+        if self._initial_count and (work or self._has_ordered):
             return True
-        present = sum(kind.there for kind in self._kinds.values())
-        if present > self._first:
-            self._first = present
-            self._first_at = now
-        return now - self._first_at >= STEADY_S
+        present = sum(kind.there for kind in self._pools.values())
+        if present > self._initial_count:
+            self._initial_count = present
+            self._initial_changed_at = now
+        return now - self._initial_changed_at >= DISCOVERY_S
 
-    def _aim(self, scaling: Scaling, work: float, now: float) -> None:
+    def _update_target(self, scaling: Scaling, work: float, now: float) -> None:
         price = scaling.preemptible_price or 1.0
-        if not self._worked:
-            self._aim_at_first(scaling, price, work)
-        self._worked = self._worked or work > 0
-        needed = _needed(price, work)
+        if not self._had_work:
+            self._update_initial_target(scaling, price, work)
+        self._had_work = self._had_work or work > 0
+        needed = _servers_needed(price, work)
         zones = len(scaling.zone_prices)
         most = scaling.most * zones
         needed = min(most, max(scaling.least * zones, needed))
         self._target = min(most, self._target)
-        if not work or needed >= self._target * (1 - SHRINK_SHARE):
+        if not work or needed >= self._target * (1 - MIN_SHRINK_SHARE):
             self._target = max(self._target, needed)
-            self._enough_since = None
+            self._shrinkable_since = None
             return
-        if self._enough_since is None:
-            self._enough_since = now
-            self._most_needed = 0
-        self._most_needed = max(self._most_needed, needed)
-        if now - self._enough_since >= HOLD_S:
-            self._target = self._most_needed
-            self._enough_since = None
-
-    def _aim_at_first(
+        if self._shrinkable_since is None:
+            self._shrinkable_since = now
+            self._peak_needed = 0
+        self._peak_needed = max(self._peak_needed, needed)
+        if now - self._shrinkable_since >= SHRINK_DELAY_S:
+            self._target = self._peak_needed
+            self._shrinkable_since = None
+
+    def _update_initial_target(
         self, scaling: Scaling, price: float, work: float
     ) -> None:
-        """Aims by the servers that are there, until there is work to go by."""
+        """Derives the target from the running servers until there is load."""
         there = {False: 0, True: 0}
-        for (_, preemptible), kind in self._kinds.items():
+        for (_, preemptible), kind in self._pools.items():
             there[preemptible] += kind.there
-        # One more that shows late was there at first, too.
-        self._first = max(self._first, there[False])
-        took_over = work or (there[True] and not self._ordered)
-        if took_over or scaling.preemptible_price is None:
-            # What another holder has ordered stands ready already.
-            self._target = max(self._target, self._first)
+            # Servers that registered late ran initially, too.
+        self._initial_count = max(self._initial_count, there[False])
+        taken_over = work or (there[True] and not self._has_ordered)
+        if taken_over or scaling.preemptible_price is None:
+            # The orders of a previous holder already include spare servers.
+            self._target = max(self._target, self._initial_count)
         else:
-            self._target = math.ceil(self._first * (1 + _spare(price)))
+            self._target = math.ceil(
+                self._initial_count * (1 + _spare_share(price))
+            )
 
-    def _booting(self, kind: _Kind, scaling: Scaling, now: float) -> int:
-        if now - kind.raised_at > scaling.boot_s + BOOT_SLACK_S:
+    def _booting(self, kind: _Pool, scaling: Scaling, now: float) -> int:
+        if now - kind.scaled_up_at > scaling.boot_s + BOOT_SLACK_S:
             return 0
-        return max(0, kind.wanted - kind.there)
+        return max(0, kind.desired - kind.there)
 
-    def _changes(
+    def _due_orders(
         self,
         preemptible: bool,
         counts: Mapping[str, int],
@@ -345,48 +367,48 @@
         return [
             Order(self._service, zone, preemptible, count)
             for zone, count in counts.items()
-            if self._is_due(self._kind(zone, preemptible), count, scaling, now)
+            if self._is_due(self._pool(zone, preemptible), count, scaling, now)
         ]
 
     def _is_due(
-        self, kind: _Kind, count: int, scaling: Scaling, now: float
+        self, kind: _Pool, count: int, scaling: Scaling, now: float
     ) -> bool:
-        if now - kind.refused_at < RETRY_S:
+        if now - kind.refused_at < PREEMPTIBLE_RETRY_S:
             return False
-        if count < kind.wanted:
-            return self._settled(scaling, now)
+        if count < kind.desired:
+            return self._is_takeover_settled(scaling, now)
         missing = count > kind.there and not self._booting(kind, scaling, now)
-        return count > kind.wanted or missing
+        return count > kind.desired or missing
 
-    def _settled(self, scaling: Scaling, now: float) -> bool:
-        """Whether all that was ordered by who had the duty before shows."""
-        return now - self._began >= scaling.boot_s + BOOT_SLACK_S
+    def _is_takeover_settled(self, scaling: Scaling, now: float) -> bool:
+        """Whether servers ordered by the previous holder had time to boot."""
+        return now - self._started_at >= scaling.boot_s + BOOT_SLACK_S
 
 
-def _needed(price: float, work: float) -> int:
-    """Returns the servers that some work needs, with what stands ready."""
-    return math.ceil(work / USE * (1 + _spare(price)))
+def _servers_needed(price: float, work: float) -> int:
+    """Returns the servers that a load needs, including spare ones."""
+    return math.ceil(work / MAX_UTILISATION * (1 + _spare_share(price)))
 
 
-def _spare(price: float) -> float:
-    """Returns what stands ready, as a part of the work, at a price."""
-    return min(MOST_SPARE, SPARE_BUDGET / price)
+def _spare_share(price: float) -> float:
+    """Returns the spare servers at a price, as a fraction of the load."""
+    return min(MAX_SPARE_SHARE, SPARE_BUDGET / price)
 
 
-def _added(
-    count: int, present: Mapping[str, int], room: Mapping[str, int]
+def _add_servers(
+    count: int, present: Mapping[str, int], capacity: Mapping[str, int]
 ) -> dict[str, int]:
-    """Returns the zones' servers with some more, in the order of the room."""
+    """Adds servers up to the capacity of each zone, in the order given."""
     parts = dict(present)
-    for zone, most in room.items():
+    for zone, most in capacity.items():
         more = max(0, min(count, most - parts[zone]))
         parts[zone] += more
         count -= more
     return parts
 
 
-def _removed(count: int, present: Mapping[str, int]) -> dict[str, int]:
-    """Returns the zones' servers with some fewer, the last zones' first."""
+def _remove_servers(count: int, present: Mapping[str, int]) -> dict[str, int]:
+    """Removes servers from the last zones first."""
     parts = dict(present)
     for zone in reversed(parts):
         fewer = min(count, parts[zone])
@@ -395,10 +417,10 @@
     return parts
 
 
-def _even(
+def _spread_evenly(
     total: int, zones: Sequence[str], least: int, most: int
 ) -> dict[str, int]:
-    """Returns the zones' parts of some servers; earlier ones get the odd."""
+    """Divides servers evenly; earlier zones get the remainder."""
     parts = {}
     for index, zone in enumerate(zones):
         part = math.ceil(total / (len(zones) - index))
--- a/tests/scalingworld.py
+++ b/tests/scalingworld.py
@@ -1,4 +1,4 @@
-"""A platform that boots and takes away the servers that a planner orders."""
+"""Simulates a platform that executes orders and withdraws servers."""
 
 import dataclasses
 
@@ -13,9 +13,9 @@
 
 
 def scaling(**changes: object) -> Scaling:
-    """Returns what may be ordered, with some changes."""
-    usual = Scaling(1, 8, BOOT_S, 0.22, ZONES)
-    return dataclasses.replace(usual, **changes)
+    """Returns bounds and prices, with some changes."""
+    default = Scaling(1, 8, BOOT_S, 0.22, ZONES)
+    return dataclasses.replace(default, **changes)
 
 
 @dataclasses.dataclass(eq=False)
@@ -26,30 +26,30 @@
     leaving: bool = False
 
 
-class ScalingWorld:
+class ScalingSimulation:
     """Servers, and the planner that orders them, in steps of half a second.
 
     Attributes:
         now: Seconds since the start.
         orders: All orders, with their times.
-        paid: Price of all servers' seconds so far.
-        least_there: Fewest servers that took requests since it was reset.
+        paid: Accumulated price of all servers.
+        min_running: Fewest servers that accepted requests since the last reset.
     """
 
     def __init__(self, present: int, allowed: Scaling):
-        """Makes a platform with usual servers.
+        """Creates a platform with on-demand servers.
 
         Args:
-            present: How many there are in each zone.
-            allowed: What may be ordered.
+            present: Number of servers in each zone.
+            allowed: Bounds and prices of the service's servers.
         """
         self.now = 0.0
         self.allowed = allowed
         self.planner = ServerPlanner(SERVICE)
         self.orders: list[tuple[float, Order]] = []
         self.paid = 0.0
-        self.least_there = 10**6
-        self._dry_until: dict[str, float] = {}
+        self.min_running = 10**6
+        self._unavailable_until: dict[str, float] = {}
         self._servers = [
             _Server(zone, False, 0.0)
             for zone in allowed.zone_prices
@@ -57,32 +57,32 @@
         ]
 
     def there(self, zone: str = "", preemptible: bool | None = None) -> int:
-        """Returns how many servers take requests."""
+        """Returns the number of servers that accept requests."""
         return sum(
             server.zone == (zone or server.zone)
             and preemptible in (None, server.preemptible)
-            for server in self._there()
+            for server in self._running()
         )
 
-    def play(self, seconds: float, work: float) -> None:
-        """Goes on for some time with some work."""
-        until = self.now + seconds
-        while self.now < until:
+    def run_for(self, seconds: float, work: float) -> None:
+        """Advances the time under a constant load."""
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.now += STEP_S
-            self._pay()
+            self._charge()
             rows = [
                 BackendServer(
                     f"s{number}", SERVICE, "", x.zone, 16, False, 0,
                     x.preemptible,
                 )
-                for number, x in enumerate(self._there())
+                for number, x in enumerate(self._running())
             ]  # fmt: skip
-            self.least_there = min(self.least_there, len(rows))
+            self.min_running = min(self.min_running, len(rows))
             for order in self.planner.plan(self.allowed, rows, work, self.now):
                 self.orders.append((self.now, order))
-                self._obey(order)
+                self._execute(order)
 
-    def hold_back(self, count: int) -> list["_Server"]:
+    def hide_rows(self, count: int) -> list["_Server"]:
         """Hides some servers' rows; returns the servers."""
         late = self._servers[:count]
         for server in late:
@@ -90,24 +90,24 @@
         return late
 
     def show(self, servers: list["_Server"]) -> None:
-        """Shows servers' rows."""
+        """Makes the rows of hidden servers visible."""
         for server in servers:
             server.ready_at = self.now
 
-    def take_away(self, zone: str, for_s: float) -> None:
-        """Takes all preemptible servers of a zone away, and gives none."""
+    def withdraw_zone(self, zone: str, duration_s: float) -> None:
+        """Withdraws a zone's preemptible servers; refuses new ones anywhere."""
         for server in self._servers:
             if server.zone == zone and server.preemptible:
                 server.leaving = True
         for name in self.allowed.zone_prices:
-            self._dry_until[name] = self.now + for_s
+            self._unavailable_until[name] = self.now + duration_s
 
-    def _there(self) -> list[_Server]:
+    def _running(self) -> list[_Server]:
         return [
             x for x in self._servers if not x.leaving and x.ready_at <= self.now
         ]
 
-    def _pay(self) -> None:
+    def _charge(self) -> None:
         self._servers = [x for x in self._servers if not x.leaving]
         for server in self._servers:
             price = self.allowed.zone_prices[server.zone]
@@ -115,16 +115,16 @@
                 price *= self.allowed.preemptible_price
             self.paid += price * STEP_S
 
-    def _obey(self, order: Order) -> None:
-        of_kind = [
+    def _execute(self, order: Order) -> None:
+        pool = [
             x
             for x in self._servers
             if x.zone == order.zone and x.preemptible == order.preemptible
         ]
-        living = [x for x in of_kind if not x.leaving]
-        missing = order.count - len(living)
-        dry = self._dry_until.get(order.zone, 0.0) > self.now
-        if order.preemptible and missing > 0 and dry:
+        running = [x for x in pool if not x.leaving]
+        missing = order.count - len(running)
+        unavailable = self._unavailable_until.get(order.zone, 0.0) > self.now
+        if order.preemptible and missing > 0 and unavailable:
             self.planner.refused(order, self.now)
             return
         for _ in range(missing):
@@ -132,6 +132,6 @@
             self._servers.append(
                 _Server(order.zone, order.preemptible, ready_at)
             )
-        for server in living[order.count :]:
+        for server in running[order.count :]:
             self._servers.remove(server)
         self.planner.accepted(order, self.now)
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -1,197 +1,198 @@
-"""Servers ordered: bursts, zones taken away, and what they cost."""
+"""Server orders: bursts, withdrawn zones, bounds and prices."""
 
 import unittest
 
 from jasminerelay.scaling import Order, ServerPlanner
-from tests.scalingworld import ZONES, ScalingWorld, scaling
-
-CALM = 8.0
-BURST = 18.0
-"""Servers that the work fills: of twelve, and under a burst of long prompts."""
-
-START_S = 16.0
-
-
-class StartTest(unittest.TestCase):
-    """From the servers that are there to those that are wanted."""
-
-    def test_cheap_ones_take_the_place_of_the_usual_ones(self) -> None:
-        world = ScalingWorld(4, scaling())
-        world.play(START_S, 0.0)
-        self.assertEqual(world.there(preemptible=False), 0)
-        self.assertEqual(world.there(), 24)
-
-    def test_usual_ones_stay_until_others_serve(self) -> None:
-        # Guards against requests that find fewer servers than before, since
-        # those that were sent away went before the others had booted.
-        world = ScalingWorld(4, scaling())
-        world.play(START_S, CALM)
-        self.assertGreaterEqual(world.least_there, 12)
-
-    def test_they_stay_also_before_any_work(self) -> None:
-        # Guards against usual servers that go to make room for others while
-        # there is nothing to say how many are needed.
-        world = ScalingWorld(4, scaling())
-        for server in world.hold_back(6):
-            world.play(1.5, 0.0)
-            world.show([server])
-        world.play(0.5, 0.0)
-        world.least_there = 12
-        world.play(START_S, 0.0)
-        self.assertGreaterEqual(world.least_there, 12)
-
-    def test_a_new_holder_sends_none_away_at_once(self) -> None:
-        # Guards against one that does not know what was just ordered.
-        world = ScalingWorld(4, scaling())
-        world.play(START_S, CALM)
-        world.planner = ServerPlanner("engines")
-        before = len(world.orders)
-        world.play(4.0, CALM)
-        fewer = [
+from tests.scalingworld import ZONES, ScalingSimulation, scaling
+
+NORMAL_LOAD = 8.0
+BURST_LOAD = 18.0
+"""Servers occupied by the load, of twelve: normally, and in a burst of long
+prompts."""
+
+STARTUP_S = 16.0
+
+
+class StartupTest(unittest.TestCase):
+    """Transition from the initial servers to the desired ones."""
+
+    def test_preemptible_servers_replace_on_demand_ones(self) -> None:
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S, 0.0)
+        self.assertEqual(simulation.there(preemptible=False), 0)
+        self.assertEqual(simulation.there(), 24)
+
+    def test_on_demand_servers_stay_until_others_serve(self) -> None:
+        # Guards against fewer servers than before because on-demand servers are
+        # removed before preemptible ones have booted.
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        self.assertGreaterEqual(simulation.min_running, 12)
+
+    def test_on_demand_servers_stay_before_any_load(self) -> None:
+        # Guards against on-demand servers removed to make room for others while
+        # no load shows how many are needed.
+        simulation = ScalingSimulation(4, scaling())
+        for server in simulation.hide_rows(6):
+            simulation.run_for(1.5, 0.0)
+            simulation.show([server])
+        simulation.run_for(0.5, 0.0)
+        simulation.min_running = 12
+        simulation.run_for(STARTUP_S, 0.0)
+        self.assertGreaterEqual(simulation.min_running, 12)
+
+    def test_new_holder_removes_none_at_once(self) -> None:
+        # Guards against a new holder that has no record of recent orders.
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        simulation.planner = ServerPlanner("engines")
+        order_count = len(simulation.orders)
+        simulation.run_for(4.0, NORMAL_LOAD)
+        decreases = [
             order
-            for _, order in world.orders[before:]
-            if order.count < world.there(order.zone, order.preemptible)
+            for _, order in simulation.orders[order_count:]
+            if order.count < simulation.there(order.zone, order.preemptible)
         ]
-        self.assertEqual(fewer, [])
-
-    def test_a_new_holder_orders_no_more_for_its_own_sake(self) -> None:
-        # Guards against twice as many servers with each change of the holder.
-        world = ScalingWorld(4, scaling(most=30))
-        world.play(START_S, CALM)
-        there = world.there()
-        for work in (CALM, 0.0):
-            world.planner = ServerPlanner("engines")
-            world.play(10.0, work)
-            self.assertLessEqual(world.there(), there)
-
-    def test_nothing_is_ordered_by_the_first_few_rows(self) -> None:
-        # Guards against a holder that sees four servers of 45 as all start
-        # together, takes them for all, and sends the others away.
-        world = ScalingWorld(4, scaling())
-        late = world.hold_back(10)
-        world.play(1.0, 0.0)
-        world.show(late)
-        world.play(START_S, 0.0)
-        self.assertGreaterEqual(world.there(), 24)
-        self.assertGreaterEqual(world.least_there, 2)
-
-    def test_one_that_shows_late_counts(self) -> None:
-        world = ScalingWorld(4, scaling())
-        late = world.hold_back(3)
-        world.play(4.0, 0.0)
-        world.show(late)
-        world.play(START_S, 0.0)
-        self.assertEqual(world.planner.target, 24)
-
-    def test_without_preemptible_ones(self) -> None:
-        world = ScalingWorld(4, scaling(preemptible_price=None))
-        world.play(START_S, CALM)
-        self.assertTrue(all(not x.preemptible for _, x in world.orders))
-        self.assertGreaterEqual(world.there(), 12)
+        self.assertEqual(decreases, [])
+
+    def test_new_holder_orders_no_additional_servers(self) -> None:
+        # Guards against a doubling of servers with each change of the holder.
+        simulation = ScalingSimulation(4, scaling(most=30))
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        there = simulation.there()
+        for work in (NORMAL_LOAD, 0.0):
+            simulation.planner = ServerPlanner("engines")
+            simulation.run_for(10.0, work)
+            self.assertLessEqual(simulation.there(), there)
+
+    def test_no_orders_based_on_the_first_rows(self) -> None:
+        # Guards against a holder that sees the rows of four out of 45 starting
+        # servers, takes these for all, and removes the others.
+        simulation = ScalingSimulation(4, scaling())
+        late = simulation.hide_rows(10)
+        simulation.run_for(1.0, 0.0)
+        simulation.show(late)
+        simulation.run_for(STARTUP_S, 0.0)
+        self.assertGreaterEqual(simulation.there(), 24)
+        self.assertGreaterEqual(simulation.min_running, 2)
+
+    def test_late_row_counts(self) -> None:
+        simulation = ScalingSimulation(4, scaling())
+        late = simulation.hide_rows(3)
+        simulation.run_for(4.0, 0.0)
+        simulation.show(late)
+        simulation.run_for(STARTUP_S, 0.0)
+        self.assertEqual(simulation.planner.target, 24)
+
+    def test_without_preemptible_servers(self) -> None:
+        simulation = ScalingSimulation(4, scaling(preemptible_price=None))
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        self.assertTrue(all(not x.preemptible for _, x in simulation.orders))
+        self.assertGreaterEqual(simulation.there(), 12)
 
 
 class BurstTest(unittest.TestCase):
     """Long prompts at three times their rate for nine seconds."""
 
-    def test_servers_stand_ready(self) -> None:
-        # Pattern: a burst is over before a server that it calls for has
-        # booted, so there must be enough before it.
-        world = ScalingWorld(4, scaling())
-        world.play(START_S + 5.0, CALM)
-        self.assertGreaterEqual(world.there(), BURST)
-
-    def test_dear_ones_stand_ready_only_in_part(self) -> None:
-        world = ScalingWorld(4, scaling(preemptible_price=None))
-        world.play(60.0, CALM)
-        self.assertLessEqual(world.there(), 2 * CALM)
-
-    def test_they_go_after_a_while(self) -> None:
-        world = ScalingWorld(4, scaling())
-        world.play(START_S, CALM)
-        world.play(9.0, BURST)
-        world.play(60.0, 2.0)
-        self.assertLess(world.there(), 12)
-
-    def test_a_wave_sends_none_away(self) -> None:
-        # Guards against caches that are cold at each wave of the work.
-        world = ScalingWorld(4, scaling())
-        world.play(START_S, CALM)
-        before = len(world.orders)
+    def test_spare_servers_before_a_burst(self) -> None:
+        # A burst is over before a server ordered for it has booted, so there
+        # must be enough servers beforehand.
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S + 5.0, NORMAL_LOAD)
+        self.assertGreaterEqual(simulation.there(), BURST_LOAD)
+
+    def test_fewer_spare_servers_at_full_price(self) -> None:
+        simulation = ScalingSimulation(4, scaling(preemptible_price=None))
+        simulation.run_for(60.0, NORMAL_LOAD)
+        self.assertLessEqual(simulation.there(), 2 * NORMAL_LOAD)
+
+    def test_surplus_is_removed_after_a_while(self) -> None:
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        simulation.run_for(9.0, BURST_LOAD)
+        simulation.run_for(60.0, 2.0)
+        self.assertLess(simulation.there(), 12)
+
+    def test_periodic_load_removes_none(self) -> None:
+        # Guards against cold caches after each cycle of a periodic load.
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        order_count = len(simulation.orders)
         for _ in range(6):
-            world.play(5.0, CALM * 0.73)
-            world.play(6.0, CALM * 1.27)
-        self.assertEqual(world.orders[before:], [])
+            simulation.run_for(5.0, NORMAL_LOAD * 0.73)
+            simulation.run_for(6.0, NORMAL_LOAD * 1.27)
+        self.assertEqual(simulation.orders[order_count:], [])
 
 
-class TakenAwayTest(unittest.TestCase):
-    """A zone's preemptible servers go, and none are had for ten seconds."""
+class WithdrawalTest(unittest.TestCase):
+    """A zone's preemptible servers are withdrawn and unavailable for 10 s."""
 
     def setUp(self) -> None:
-        self.world = ScalingWorld(4, scaling())
-        self.world.play(START_S, CALM)
-
-    def test_usual_ones_take_their_place_under_a_burst(self) -> None:
-        self.world.play(5.0, BURST)
-        self.world.take_away("b", 10.0)
-        self.world.play(6.0, BURST)
-        self.assertGreaterEqual(self.world.there(), 22)
-
-    def test_none_come_while_the_rest_do(self) -> None:
-        self.world.take_away("b", 10.0)
-        self.world.play(10.0, CALM)
-        self.assertEqual(self.world.there(preemptible=False), 0)
-
-    def test_cheap_ones_are_back_soon_after(self) -> None:
-        self.world.play(5.0, BURST)
-        self.world.take_away("b", 10.0)
-        self.world.play(40.0, BURST)
-        self.assertEqual(self.world.there("b", True), 8)
+        self.simulation = ScalingSimulation(4, scaling())
+        self.simulation.run_for(STARTUP_S, NORMAL_LOAD)
+
+    def test_on_demand_servers_replace_withdrawn_ones(self) -> None:
+        self.simulation.run_for(5.0, BURST_LOAD)
+        self.simulation.withdraw_zone("b", 10.0)
+        self.simulation.run_for(6.0, BURST_LOAD)
+        self.assertGreaterEqual(self.simulation.there(), 22)
+
+    def test_no_replacement_while_the_rest_suffices(self) -> None:
+        self.simulation.withdraw_zone("b", 10.0)
+        self.simulation.run_for(10.0, NORMAL_LOAD)
+        self.assertEqual(self.simulation.there(preemptible=False), 0)
+
+    def test_preemptible_servers_return(self) -> None:
+        self.simulation.run_for(5.0, BURST_LOAD)
+        self.simulation.withdraw_zone("b", 10.0)
+        self.simulation.run_for(40.0, BURST_LOAD)
+        self.assertEqual(self.simulation.there("b", True), 8)
 
     def test_orders_are_few(self) -> None:
-        # Guards against orders that undo each other at each look.
-        before = len(self.world.orders)
-        self.world.play(5.0, BURST)
-        self.world.take_away("b", 10.0)
-        self.world.play(5.0, BURST)
-        self.world.take_away("a", 10.0)
-        self.world.play(30.0, BURST)
-        self.assertLess(len(self.world.orders) - before, 40)
+        # Guards against orders that undo each other in consecutive rounds.
+        order_count = len(self.simulation.orders)
+        self.simulation.run_for(5.0, BURST_LOAD)
+        self.simulation.withdraw_zone("b", 10.0)
+        self.simulation.run_for(5.0, BURST_LOAD)
+        self.simulation.withdraw_zone("a", 10.0)
+        self.simulation.run_for(30.0, BURST_LOAD)
+        self.assertLess(len(self.simulation.orders) - order_count, 40)
 
 
 class BoundsTest(unittest.TestCase):
-    """What the configuration allows holds, whatever is wanted."""
+    """The configured bounds hold for all orders."""
 
-    def check(self, world: ScalingWorld) -> None:
-        """Asserts the bounds on all that was ordered."""
+    def check(self, simulation: ScalingSimulation) -> None:
+        """Asserts the bounds of all orders."""
         held = {(zone, False): 4 for zone in ZONES}
-        for _, order in world.orders:
+        for _, order in simulation.orders:
             held[(order.zone, order.preemptible)] = order.count
-            both = sum(held.get((order.zone, kind), 0) for kind in (0, 1))
-            self.assertLessEqual(both, world.allowed.most)
-
-    def test_most_of_both_kinds_together(self) -> None:
-        world = ScalingWorld(4, scaling())
-        world.play(START_S, CALM)
-        world.play(5.0, 100.0)
-        world.take_away("c", 10.0)
-        world.play(40.0, 100.0)
-        self.check(world)
-
-    def test_least_stay(self) -> None:
-        world = ScalingWorld(4, scaling(least=2))
-        world.play(START_S, CALM)
-        world.play(90.0, 0.1)
+            total = sum(held.get((order.zone, kind), 0) for kind in (0, 1))
+            self.assertLessEqual(total, simulation.allowed.most)
+
+    def test_upper_bound_of_both_kinds_together(self) -> None:
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        simulation.run_for(5.0, 100.0)
+        simulation.withdraw_zone("c", 10.0)
+        simulation.run_for(40.0, 100.0)
+        self.check(simulation)
+
+    def test_lower_bound(self) -> None:
+        simulation = ScalingSimulation(4, scaling(least=2))
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        simulation.run_for(90.0, 0.1)
         for zone in ZONES:
-            self.assertGreaterEqual(world.there(zone), 2)
+            self.assertGreaterEqual(simulation.there(zone), 2)
 
-    def test_a_change_of_the_bounds_counts_at_once(self) -> None:
-        world = ScalingWorld(4, scaling())
-        world.play(START_S, CALM)
-        world.allowed = scaling(most=3)
-        world.play(3.0, CALM)
-        self.assertLessEqual(world.there(), 9)
+    def test_changed_bounds_apply_at_once(self) -> None:
+        simulation = ScalingSimulation(4, scaling())
+        simulation.run_for(STARTUP_S, NORMAL_LOAD)
+        simulation.allowed = scaling(most=3)
+        simulation.run_for(3.0, NORMAL_LOAD)
+        self.assertLessEqual(simulation.there(), 9)
 
-    def test_prices_decide_where_the_odd_one_stands(self) -> None:
+    def test_cheaper_zone_gets_the_remainder(self) -> None:
         planner = ServerPlanner("engines")
         orders = planner.plan(scaling(), [], 1.0, now=0.0)
         counts = {x.zone: x.count for x in orders if x.preemptible}
