--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -3,8 +3,8 @@
 All instances report the requests that servers started for them, and their
 clients' demand, to the same few coordinators, which rendezvous hashing selects
 among the live instances. One coordinator holds the lease and performs the
-duties; it notifies the others, the first of which takes over when the holder
-becomes unresponsive.
+duties; it sends heartbeats to the others, the first of which takes over when
+the holder becomes unresponsive.
 """
 
 import time
--- a/src/jasminerelay/dutydesk.py
+++ b/src/jasminerelay/dutydesk.py
@@ -64,11 +64,11 @@
         self._renew_first = False
 
     async def decide(self, report: Report) -> bool:
-        """Decides a report unless it is decided; StoreError if unanswered."""
+        """Stores a report unless one is stored; StoreError if unanswered."""
         return await self._keeper.renew(report)
 
     async def report(self, report: Report) -> bool:
-        """Sends a decided report; returns whether the platform accepted it."""
+        """Sends a stored report; returns whether the platform accepted it."""
         if not await self._prepare_call():
             return False
         said = await self._calls.report(report, self.fence)
--- a/src/jasminerelay/epidemic.py
+++ b/src/jasminerelay/epidemic.py
@@ -1,4 +1,4 @@
-"""Broadcasts news to all instances by an epidemic protocol.
+"""Broadcasts items to all instances by an epidemic protocol.
 
 Without I/O. An instance that receives an item for the first time forwards it to
 a few others in each of the following rounds. The cost of an item grows linearly
@@ -12,7 +12,7 @@
 from jasminerelay.schema.messages import Member
 
 FANOUT = 4
-"""Instances to which news are sent in one round."""
+"""Instances to which items are sent in one round."""
 
 ROUNDS = 4
 """Rounds in which an item is forwarded. With 195 instances, each receives it
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -143,7 +143,7 @@
             await self._keeper.try_take()
 
     def _on_lease_taken(self) -> None:
-        # The previous holder may just have caused a load of weights.
+        # The previous holder may just have ordered weights to be loaded.
         self._bucket = None
         self._counters.incr("placement.lease_taken")
         _log.info(
--- a/src/jasminerelay/scaling.py
+++ b/src/jasminerelay/scaling.py
@@ -23,11 +23,11 @@
 times grow faster than the load."""
 
 SPARE_BUDGET = 0.3
-"""Spare servers at the on-demand price, as a fraction of the load. At a fifth
-of the price, five times as many are kept."""
+"""Spare servers at the on-demand price, as a fraction of those occupied by
+the load. At a fifth of the price, five times as many are kept."""
 
 MAX_SPARE_SHARE = 2.0
-"""Upper bound of spare servers, as a fraction of the load."""
+"""Upper bound of spare servers, as a fraction of those occupied by the load."""
 
 SHRINK_DELAY_S = 20.0
 """How long fewer servers must suffice before any are removed. Each removal
@@ -341,7 +341,7 @@
         there = {False: 0, True: 0}
         for (_, preemptible), kind in self._pools.items():
             there[preemptible] += kind.there
-            # Servers that registered late ran initially, too.
+        # Servers that registered late ran initially, too.
         self._initial_count = max(self._initial_count, there[False])
         taken_over = work or (there[True] and not self._has_ordered)
         if taken_over or scaling.preemptible_price is None:
@@ -391,7 +391,7 @@
 
 
 def _spare_share(price: float) -> float:
-    """Returns the spare servers at a price, as a fraction of the load."""
+    """Returns the spare servers at a price, per server occupied by the load."""
     return min(MAX_SPARE_SHARE, SPARE_BUDGET / price)
 
 
--- a/src/jasminerelay/serverlimits.py
+++ b/src/jasminerelay/serverlimits.py
@@ -16,14 +16,14 @@
 MS_PER_S = 1e3
 
 GRANT_TTL_S = 0.5
-"""Lifetime of a grant. The instances that request grants have requests
-queued."""
+"""Lifetime of a grant. It can be short, since instances request grants only for
+client requests that are queued already."""
 
 TRIAL_GRANT_TTL_S = 2.0
 """Lifetime of a trial grant, which the next request to arrive uses."""
 
 REQUEST_TTL_S = 0.3
-"""Lifetime of an instance's request for grants; it is repeated while its
+"""Lifetime of an instance's request for grants; it is repeated while client
 requests are queued."""
 
 DEMAND_TTL_S = 0.15
@@ -32,7 +32,8 @@
 
 BURST_S = 0.25
 """Grants that may accumulate, in seconds at the server's rate: more than the
-time between two rounds of requests, so that no grant is lost between them."""
+time between two rounds of grant requests, so that no grant is lost between
+them."""
 
 TRIAL_INTERVAL_S = 3.0
 """Interval at which one request is sent to see whether the limit still
