--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -89,7 +89,7 @@
         self,
         own: Member,
         keeper: LeaseKeeper,
-        desk: DutyDesk,
+        caller: DutyDesk,
         usage: OwnUsage,
         ledger: UsageLedger,
         clock: TrueClock,
@@ -103,7 +103,7 @@
         Args:
             own: This instance.
             keeper: Takes and renews the lease.
-            desk: Calls the platform under the lease.
+            caller: Calls the platform under the lease.
             usage: Requests that servers started for this instance.
             ledger: Usage counted by all instances.
             clock: True time.
@@ -114,7 +114,7 @@
         """
         self._own = own
         self._keeper = keeper
-        self._desk = desk
+        self._caller = caller
         self.reports: UsageReports | None = None
         self.orders: ServerOrders | None = None
         self._usage = usage
@@ -329,14 +329,14 @@
     async def _serve_once(self) -> None:
         now = now_s()
         if self.holds:
-            if self._desk.platform_unreachable:
+            if self._caller.platform_unreachable:
                 self._backoff_until = now + BACKOFF_S
             if (
                 self._coordinator_rank is None
                 or self._stopping
                 or self._backing_off(now)
             ):
-                self._log.trouble("duty_given_up", fence=self._desk.fence)
+                self._log.trouble("duty_given_up", fence=self._caller.fence)
                 await self._keeper.release()
                 return
             await self._keeper.renew_if_due()
@@ -362,8 +362,8 @@
 
     def _on_lease_taken(self) -> None:
         self._counters.incr("duty.taken")
-        self._log.trouble("duty_taken", fence=self._desk.fence)
-        self._desk.on_lease_taken()
+        self._log.trouble("duty_taken", fence=self._caller.fence)
+        self._caller.on_lease_taken()
         for part in (self.reports, self.orders):
             if part is not None:
                 part.on_lease_taken()
--- a/src/jasminerelay/serverorders.py
+++ b/src/jasminerelay/serverorders.py
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        desk: DutyDesk,
+        caller: DutyDesk,
         registry: Registry,
         work: Callable[[str], float | None],
         clock: Callable[[], float],
@@ -29,7 +29,7 @@
         """Creates the orders of an instance without the lease.
 
         Args:
-            desk: Calls the platform under the lease.
+            caller: Calls the platform under the lease.
             registry: Configuration and servers.
             work: Returns how many servers a service's requests occupy; None if
                 too few instances have reported.
@@ -37,7 +37,7 @@
             counters: Receives counts of events.
             log: Receives events.
         """
-        self._desk = desk
+        self._caller = caller
         self._registry = registry
         self._work = work
         self._clock = clock
@@ -72,7 +72,7 @@
         servers = self._registry.servers_of(service.name)
         orders = planner.plan(service.scaling, servers, work, self._clock())
         for order in orders:
-            said = await self._desk.order(order)
+            said = await self._caller.order(order)
             self._record_result(planner, order, said, work, len(servers))
             if said in (Said.BUSY, Said.NOTHING):
                 return
@@ -101,5 +101,5 @@
             work=round(work, 2),
             target=planner.target,
             there=there,
-            fence=self._desk.fence,
+            fence=self._caller.fence,
         )
--- a/src/jasminerelay/usagereports.py
+++ b/src/jasminerelay/usagereports.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        desk: DutyDesk,
+        caller: DutyDesk,
         decided: DecidedReports,
         ledger: UsageLedger,
         window_s: float,
@@ -47,7 +47,7 @@
         """Creates the reports of an instance without the lease.
 
         Args:
-            desk: Calls the platform under the lease.
+            caller: Calls the platform under the lease.
             decided: Store of decided reports.
             ledger: Usage counted by all instances.
             window_s: Length of a window.
@@ -56,7 +56,7 @@
             counters: Receives counts of events.
             log: Receives events.
         """
-        self._desk = desk
+        self._caller = caller
         self._decided = decided
         self._ledger = ledger
         self._window_s = window_s
@@ -97,7 +97,7 @@
             self._record_miss(window)
             return
         report = Report(window, self._ledger.counts(window))
-        if await self._desk.decide(report):
+        if await self._caller.decide(report):
             self._counters.incr("usage.decided")
 
     def _record_miss(self, window: int) -> None:
@@ -112,7 +112,7 @@
         )
 
     async def _send(self, report: Report) -> None:
-        done = await self._desk.report(report)
+        done = await self._caller.report(report)
         age_s = self._true_s() - (report.window + 1) * self._window_s
         self._log.info(
             "usage_report",
@@ -120,7 +120,7 @@
             requests=sum(report.counts.values()),
             organisations=len(report.counts),
             after_end_s=round(age_s, 2),
-            fence=self._desk.fence,
+            fence=self._caller.fence,
             done=done,
         )
         if done:
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -206,8 +206,8 @@
 class RepeatedOrders:
     """Gives an order in each round, so that alternating holders show."""
 
-    def __init__(self, desk: DutyDesk):
-        self._desk = desk
+    def __init__(self, caller: DutyDesk):
+        self._caller = caller
         self._count = 0
 
     def on_lease_taken(self) -> None:
@@ -216,7 +216,7 @@
     async def serve(self) -> None:
         """Orders one server more than before."""
         self._count += 1
-        await self._desk.order(Order("engines", "a", False, self._count))
+        await self._caller.order(Order("engines", "a", False, self._count))
 
 
 class DutySimulation(InstanceWorld):
@@ -264,7 +264,7 @@
         rows = StoreAccess(self)
         keeper = LeaseKeeper(rows, lease, machine, name, anyio.current_time)
         calls = PlatformAccess(self, machine)
-        desk = DutyDesk(
+        caller = DutyDesk(
             keeper, calls, 50.0, anyio.current_time, Quiet(), Quiet()
         )
         ledger = UsageLedger()
@@ -274,7 +274,7 @@
         watch = Duties(
             Member(name, "", "", "", "", name, "alive", 0),
             keeper,
-            desk,
+            caller,
             OwnUsage(WINDOW_S),
             ledger,
             TrueClock(now, now),
@@ -284,9 +284,16 @@
             Quiet(),
         )
         watch.reports = UsageReports(
-            desk, rows, ledger, WINDOW_S, LATE_S, watch.true_s, Quiet(), Quiet()
+            caller,
+            rows,
+            ledger,
+            WINDOW_S,
+            LATE_S,
+            watch.true_s,
+            Quiet(),
+            Quiet(),
         )
-        watch.orders = RepeatedOrders(desk)
+        watch.orders = RepeatedOrders(caller)
         watch.first_start = self._first_start
         watch.rows = rows
         watch.calls = calls
