--- a/src/jasminerelay/platform/__init__.py
+++ b/src/jasminerelay/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the users' platform.
+"""Adapter to the users' platform.
 
-It translates between the platform's words and the package's types, and wires
-an instance for it. Decisions, state and recovery are in the package; nothing
-outside this folder knows a name of the platform's wire.
+Translates between the platform's wire formats and the package's types, and
+assembles an instance. Routing decisions, state and recovery are in the rest of
+the package; no module outside this folder uses the platform's field names.
 """
--- a/src/jasminerelay/platform/bootfile.py
+++ b/src/jasminerelay/platform/bootfile.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform lays out for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 import dataclasses
 import pathlib
@@ -22,17 +22,18 @@
 
 
 class _Bounds(msgspec.Struct):
-    # Time between SIGTERM and SIGKILL.
+    # Time from SIGTERM to SIGKILL.
     grace_s: float = msgspec.field(name="graceS", default=8)
     retry_ratio: float = msgspec.field(name="retryBudgetRatio", default=0.2)
     retry_window_s: float = msgspec.field(name="budgetWindowS", default=10)
     retry_allowance: float = msgspec.field(name="retryAllowance", default=10)
-    # Longest time that callers may keep an entry list.
+    # Longest time for which callers may cache an entry list.
     ttl_max_s: float = 5
-    # Within it no other instance may act between two acts of one.
+    # Within this time after a call of one instance no other instance may make
+    # a call.
     lease_ms: float = msgspec.field(name="leaseMs", default=3000)
     usage_window_s: float = msgspec.field(name="windowS", default=5)
-    # After a window's end.
+    # Time after the end of a window at which its report is due.
     usage_late_s: float = msgspec.field(name="usageLateS", default=10)
 
 
@@ -42,9 +43,10 @@
 
 class _DutyCalls(msgspec.Struct):
     address: str
-    # Names of the duties; others than those known here are nobody's.
+    # Names of the duties to perform; unknown names are ignored. None stands
+    # for all of them.
     duties: list[str] | None = None
-    # Of all instances together.
+    # Limit for all instances together.
     calls_per_s: float = msgspec.field(name="dutyPerS", default=1)
 
 
@@ -53,30 +55,30 @@
     ip: str
     zone: str
     region: str
-    # First and last port that are free for traffic between instances.
+    # First and last port reserved for traffic between instances.
     ports: tuple[int, int] = msgspec.field(name="internalPortRange")
     listen: _Listen = msgspec.field(name="listenAddrs")
     platform: _Platform
     duty_calls: _DutyCalls | None = msgspec.field(name="cloudApi", default=None)
-    # True only as the whole system starts for the first time.
+    # True only when the system as a whole starts for the first time.
     bootstrap: bool = False
-    # Addresses of a few instances, which may be stale.
+    # Addresses of some instances, which may be stale.
     seeds: list[str] = msgspec.field(name="seedNodes", default_factory=list)
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
 
 
 @dataclasses.dataclass(frozen=True)
 class DutyCalls:
-    """Calls to the platform that one instance at a time makes.
+    """Settings of the platform calls that one instance at a time makes.
 
     Attributes:
-        address: IP:port that takes them.
-        usage: Whether usage is to be reported.
-        servers: Whether servers may be ordered.
-        calls_s: Calls a second that all instances together may make.
-        lease_s: Time within which no two instances may act in turns.
-        window_s: Length of a window of usage.
-        late_s: Time after a window's end at which its report is due.
+        address: IP:port of the platform's API.
+        usage: Whether to report usage.
+        servers: Whether to order servers.
+        calls_s: Calls per second allowed for all instances together.
+        lease_s: Time within which only one instance may make calls.
+        window_s: Length of a usage window.
+        late_s: Time after the end of a window at which its report is due.
     """
 
     address: str
@@ -90,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Boot:
-    """What a process learns at its start.
+    """Settings of an instance.
 
     Attributes:
         name: Name of the instance.
@@ -98,18 +100,19 @@
         zone: Its availability zone.
         region: Its region.
         callers: IP:port for callers.
-        readiness: IP:port where the platform asks for readiness.
-        entries: IP:port where callers ask which address to use.
+        readiness: IP:port of the readiness probe.
+        entries: IP:port where callers resolve the instances' addresses.
         peers: IP:port for traffic between instances.
-        seeds: Peers' addresses that may be stale.
+        seeds: Addresses of other instances, which may be stale.
         store: IP:port of the platform's store.
         grace_s: Time from SIGTERM to SIGKILL.
-        entry_ttl_s: Longest time that callers keep an entry list.
-        retry_ratio: Repeats allowed per request, over all instances.
-        retry_allowance: Repeats allowed beside that.
-        retry_window_s: Span over which both are counted.
-        duty_calls: What one instance at a time does; None if nothing.
-        first_start: Whether nothing of the whole system ran before.
+        entry_ttl_s: Longest time for which callers cache an entry list.
+        retry_ratio: Retries allowed per request, over all instances.
+        retry_allowance: Retries allowed in addition to the ratio.
+        retry_window_s: Time window over which requests and retries are
+            counted.
+        duty_calls: Settings of the duties; None if there are none.
+        first_start: Whether the system as a whole starts for the first time.
     """
 
     name: str
@@ -132,9 +135,9 @@
 
 
 def parse(text: str, source: str) -> Result[Boot, list[Problem]]:
-    """Returns the settings, or the faults of the text.
+    """Parses and validates the settings.
 
-    Fields that are not known here are ignored: the platform adds new ones.
+    Unknown fields are ignored, since the platform adds new ones.
     """
     parsed = checking.parse_toml(text, source)
     if isinstance(parsed, Err):
@@ -160,7 +163,7 @@
 
 
 def _check_duties(raw: _BootFile, source: str) -> list[Problem]:
-    """Returns the faults of what the duties go by, where there are any."""
+    """Returns the faults of the settings that concern the duties."""
     if raw.duty_calls is None:
         return []
     bounds = raw.bounds
@@ -176,7 +179,7 @@
             key,
             str(value),
             "a number above 0",
-            "mend the field; without cloudApi no duties are done",
+            "mend the field; without cloudApi no duties are performed",
         )
         for key, value in values.items()
         if not value > 0
@@ -198,7 +201,7 @@
         "(platform settings)",
         found,
         "the fields that docs/PLATFORM.md lists",
-        "mend the file, or the path in JASMINERELAY_BOOT",
+        "correct the file, or the path in JASMINERELAY_BOOT",
     )
 
 
@@ -231,12 +234,12 @@
     calls = raw.duty_calls
     if calls is None:
         return None
-    # Where no duties are named, both are wanted.
-    named = KNOWN_DUTIES if calls.duties is None else calls.duties
+    # All known duties are performed if the settings name none.
+    selected = KNOWN_DUTIES if calls.duties is None else calls.duties
     return DutyCalls(
         calls.address,
-        USAGE_DUTY in named,
-        SERVERS_DUTY in named,
+        USAGE_DUTY in selected,
+        SERVERS_DUTY in selected,
         calls.calls_per_s,
         raw.bounds.lease_ms / MS,
         raw.bounds.usage_window_s,
--- a/src/jasminerelay/platform/deployfile.py
+++ b/src/jasminerelay/platform/deployfile.py
@@ -1,4 +1,4 @@
-"""Checks the file by which the platform builds and starts instances."""
+"""Checks the deploy file, from which the platform builds and runs instances."""
 
 import pathlib
 import re
@@ -9,17 +9,17 @@
 from jasminerelay import checking
 from jasminerelay.errors import Problem
 
-CALLERS_ROLE = "edge"
-ENTRIES_ROLE = "registry"
+CALLERS_SERVICE = "edge"
+ENTRIES_SERVICE = "registry"
 _METRICS = re.compile(r"[0-9]{1,5}/[^\s]*")
 _VARIABLE = re.compile(r"[A-Z][A-Z0-9_]*")
 _RESERVED = ("LD_", "JAVA", "NODE_", "PYTHON")
-"""Beginnings of names that the platform or a runtime reads."""
+"""Prefixes of variables that the platform or a language runtime interprets."""
 
 
 class _Role(msgspec.Struct):
     run: str
-    # Class of machines.
+    # Machine class.
     on: str
     serves: list[str] = msgspec.field(default_factory=list)
     share: float | None = None
@@ -35,10 +35,10 @@
 
 
 def load(path: pathlib.Path) -> Result[list[str], list[Problem]]:
-    """Reads and checks a deploy file; returns its roles' names.
+    """Reads and checks a deploy file; returns the names of its roles.
 
-    Programs and templates are looked for beside the folder of the file, since
-    the platform starts them at the root of the repository.
+    Paths of programs and templates are resolved against the parent of the
+    file's folder, since the platform runs programs at the repository's root.
     """
     source = str(path)
     try:
@@ -58,10 +58,10 @@
 
 def _check(raw: _DeployFile, source: str, root: pathlib.Path) -> list[Problem]:
     problems = []
-    served = [word for role in raw.roles.values() for word in role.serves]
-    for word in (CALLERS_ROLE, ENTRIES_ROLE):
-        if word not in served:
-            expected = f"a role whose serves names {word}"
+    served = [service for role in raw.roles.values() for service in role.serves]
+    for service in (CALLERS_SERVICE, ENTRIES_SERVICE):
+        if service not in served:
+            expected = f"a role whose serves field lists {service}"
             problems.append(_problem(source, "roles", "none", expected))
     for name, role in raw.roles.items():
         key = f"roles.{name}"
@@ -73,7 +73,9 @@
 
 def _check_amount(role: _Role, source: str, key: str) -> list[Problem]:
     if (role.share is None) == (role.count is None):
-        return [_problem(source, key, "both or neither", "share or count")]
+        return [
+            _problem(source, key, "both or neither", "either share or count")
+        ]
     if role.share is not None and not 0 < role.share <= 1:
         expected = "more than 0, at most 1"
         return [_problem(source, f"{key}.share", str(role.share), expected)]
@@ -86,7 +88,7 @@
 def _check_files(
     role: _Role, source: str, key: str, root: pathlib.Path
 ) -> list[Problem]:
-    paths = [word for word in role.run.split() if word.endswith(".py")]
+    paths = [part for part in role.run.split() if part.endswith(".py")]
     if role.template is not None:
         paths.append(role.template)
     return [
@@ -104,12 +106,16 @@
     for name in role.env:
         free = not name.startswith(_RESERVED) and name not in ("PATH", "HOME")
         if not free or not _VARIABLE.fullmatch(name):
-            expected = "capitals, digits, underscores, and no reserved name"
+            expected = "capitals, digits and underscores; not a reserved name"
             problems.append(_problem(source, f"{key}.env", name, expected))
     return problems
 
 
 def _problem(source: str, key: str, found: str, expected: str) -> Problem:
     return Problem(
-        source, key, found, expected, "mend the deploy file and check it again"
+        source,
+        key,
+        found,
+        expected,
+        "correct the deploy file and check it again",
     )
--- a/src/jasminerelay/platform/documents.py
+++ b/src/jasminerelay/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration and the servers' rows."""
+"""Decodes the operator's configuration and the rows of backend servers."""
 
 import ipaddress
 import math
@@ -23,11 +23,12 @@
 MS = 1000.0
 MBPS = 1e6
 DRAINING = "draining"
-PATIENCE_LEAST_S = 2.0
-PATIENCE_OBJECTIVES = 4
-PATIENCE_PAUSES = 8
-"""Silence after which the platform's callers leave a stream: the longest of
-the least time, so many objectives and so many of the pauses allowed."""
+MIN_PATIENCE_S = 2.0
+PATIENCE_PER_OBJECTIVE = 4
+PATIENCE_PER_PAUSE = 8
+"""Callers close a stream that sends nothing for the longest of these: the
+minimum, the multiple of the route's latency objective, and the multiple of its
+longest allowed pause between events."""
 
 _SERVER_ID = re.compile(r"[!-~]+")
 STREAMING = "streaming"
@@ -35,7 +36,7 @@
 
 
 class DocumentError(ValueError):
-    """A document of the platform cannot be read."""
+    """A configuration or server row is malformed."""
 
 
 class _Share(msgspec.Struct):
@@ -51,19 +52,20 @@
     kind: str = msgspec.field(name="routeType")
     timeout_ms: float = msgspec.field(name="timeoutMs")
     objective_ms: float = msgspec.field(name="targetLatencyMs", default=1000)
-    # Despite its name a rank: 0 goes first.
+    # A rank, despite its outer name: 0 is served first.
     rank: int = msgspec.field(name="priorityClass", default=0)
     service: str = msgspec.field(name="backend", default="")
     split: list[_Share] = msgspec.field(
         name="trafficSplit", default_factory=list
     )
-    # Servers that may run one request, not tries.
+    # Number of servers that may run a request, not of attempts to send it.
     max_servers: int = msgspec.field(name="maxAttempts", default=1)
     anonymous: bool = False
-    # Says that requests bring a prompt; nothing has to stay at one server.
+    # Whether requests describe a prompt. Despite the outer name, requests
+    # need not stay at one server.
     model: bool = msgspec.field(name="sessionAffinity", default=False)
     resume: bool = msgspec.field(name="streamResume", default=False)
-    # Longest pause between events, not a target for the mean.
+    # Longest allowed pause between events, not a target for the mean.
     pause_ms: float = msgspec.field(name="gapTargetMs", default=0)
 
 
@@ -73,18 +75,18 @@
     token_bytes: float = msgspec.field(name="kvTokenBytes", default=0)
     backups: bool = False
     moves: bool = msgspec.field(name="migrations", default=False)
-    # Of the link between two servers of the service.
+    # Bandwidth of the link between two servers of the service.
     link_mbps: float = msgspec.field(name="bandwidthMbps", default=0.0)
-    # Tokens in one event.
+    # Tokens per event.
     event_tokens: int = msgspec.field(name="stride", default=1)
 
 
 class _Scaling(msgspec.Struct):
-    # Of each availability zone, despite names that speak of replicas.
+    # Servers in each availability zone, not replicas in total.
     least: int = msgspec.field(name="minReplicas")
     most: int = msgspec.field(name="maxReplicas")
     boot_s: float = msgspec.field(name="bootTimeS", default=0.0)
-    # A part of the usual price, not a price of its own.
+    # Fraction of the regular price, not an absolute price.
     preemptible_price: float | None = msgspec.field(
         name="spotPrice", default=None
     )
@@ -97,7 +99,8 @@
     name: str
     max_connections: int = msgspec.field(name="maxConnections", default=64)
     runtime: _Runtime | None = None
-    # Servers are ordered by the instances; nothing scales by itself.
+    # Bounds within which the instances order servers; the platform does not
+    # scale by itself.
     scaling: _Scaling | None = msgspec.field(name="autoscale", default=None)
 
 
@@ -105,7 +108,7 @@
     body_bytes: int = msgspec.field(name="maxBodyBytes", default=1 << 22)
     head_bytes: int = msgspec.field(name="maxHeaderBytes", default=1 << 16)
     head_ms: float = msgspec.field(name="headerTimeoutMs", default=10_000)
-    # Between requests of a connection, and inside a body.
+    # Time limit between requests on a connection, and for a pause in a body.
     idle_ms: float = msgspec.field(name="idleTimeoutMs", default=60_000)
 
 
@@ -118,7 +121,7 @@
 class _Configuration(msgspec.Struct):
     version: int
     routes: list[_Route]
-    # The services; their servers stand in the servers' table.
+    # Their servers are listed in the servers' table.
     services: list[_Service] = msgspec.field(
         name="backends", default_factory=list
     )
@@ -134,12 +137,13 @@
     zone: str
     slots: int = msgspec.field(name="slotCount")
     phase: Literal["ready", "draining"]
-    # Not used. A row without them is another writer's.
+    # Not used. Required, since a row without these fields was not written by
+    # a server.
     release: str = msgspec.field(name="version")
     cold_ms: float = msgspec.field(name="coldRemainingMs")
     order_count: int = msgspec.field(name="callSeq")
-    # Start of the server by its own clock, in Unix milliseconds. A server that
-    # starts again may keep its id; this tells the two apart.
+    # Start time by the server's own clock, in Unix milliseconds. Distinguishes
+    # a restarted server from its predecessor, since both may have the same id.
     born: int = 0
     preemptible: bool = False
 
@@ -148,7 +152,7 @@
     """Decodes a configuration.
 
     Raises:
-        DocumentError: if it cannot be read.
+        DocumentError: if it is malformed.
     """
     try:
         raw = msgspec.json.decode(data, type=_Configuration)
@@ -175,22 +179,27 @@
 
 
 def server(key: str, data: bytes) -> BackendServer:
-    """Decodes a server's row; its key is the server's id.
+    """Decodes a server's row, whose key is the server's id.
 
-    Others than the servers may write there, so nothing of it is trusted.
+    Programs other than the servers may write to the table, so the row is not
+    trusted.
 
     Raises:
-        DocumentError: if it cannot be read, or names no server to use.
+        DocumentError: if the row is malformed or a field is invalid.
     """
     if not _SERVER_ID.fullmatch(key):
-        raise DocumentError(f"server {key!r}: no id that a header can hold")
+        raise DocumentError(
+            f"server {key!r}: id has characters invalid in a header"
+        )
     try:
         raw = msgspec.json.decode(data, type=_Server)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
         raise DocumentError(f"server {key}: {exc}") from exc
     _check_address(key, raw.address)
     if raw.slots < 1:
-        raise DocumentError(f"server {key}: {raw.slots} slots, not one or more")
+        raise DocumentError(
+            f"server {key}: slotCount is {raw.slots}, must be 1 or more"
+        )
     return BackendServer(
         key,
         raw.service,
@@ -210,7 +219,9 @@
     except ValueError as exc:
         raise DocumentError(f"server {key}: address: {exc}") from exc
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 1 << 16):
-        raise DocumentError(f"server {key}: address without a port: {address}")
+        raise DocumentError(
+            f"server {key}: address without a valid port: {address}"
+        )
 
 
 def _route(raw: _Route) -> Route:
@@ -241,11 +252,11 @@
 
 
 def _patience_s(raw: _Route) -> float:
-    """Returns the silence after which callers of a stream leave."""
+    """Returns the time without an event after which callers close a stream."""
     return max(
-        PATIENCE_LEAST_S,
-        PATIENCE_OBJECTIVES * raw.objective_ms / MS,
-        PATIENCE_PAUSES * raw.pause_ms / MS,
+        MIN_PATIENCE_S,
+        PATIENCE_PER_OBJECTIVE * raw.objective_ms / MS,
+        PATIENCE_PER_PAUSE * raw.pause_ms / MS,
     )
 
 
@@ -267,7 +278,7 @@
 def _scaling(raw: _Scaling | None) -> Scaling | None:
     if raw is None:
         return None
-    # Zero is what a platform without such servers may name.
+    # The platform may send 0 if it offers no preemptible servers.
     price = raw.preemptible_price or None
     least = max(0, raw.least)
     return Scaling(
--- a/src/jasminerelay/platform/headers.py
+++ b/src/jasminerelay/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header fields of callers' requests and of backend servers' answers."""
+"""Translates header fields of requests and of backend servers' responses."""
 
 import math
 
@@ -10,31 +10,31 @@
 from jasminerelay.httpclient import Exchange, Reply
 
 MS = 1000.0
-URGENT = b"0"
-USUAL = b"5"
-"""The platform's urgencies go from 0, the first, to 9."""
+HIGH_URGENCY = b"0"
+NORMAL_URGENCY = b"5"
+"""The platform's urgencies range from 0, the most urgent, to 9."""
 
 MISDIRECTED = 421
-"""Another server has the address now; the request has not run."""
+"""Status from a server other than the expected one; it ran no request."""
 
-ATTEMPT = b"attempt-id"
+ATTEMPT_ID = b"attempt-id"
 DEADLINE = b"deadline-ms"
 AUTHORIZATION = b"authorization"
-LAST_EVENT = b"last-event-id"
+LAST_EVENT_ID = b"last-event-id"
 _EXPECTED_SERVER = b"expect-instance"
 _ORGANISATION = b"tenant"
 _URGENCY = b"request-urgency"
 _NOT_RUN = b"not-executed"
-# Requests a second that the server takes from all instances together.
-_LIMIT = b"server-limit"
-# Address and run of a memory copy that the request goes on from.
-_COPY_FROM = b"kv-from"
-# Server from which the start of the prompt is copied, if it has it.
-_FETCH_FROM = b"kv-fetch"
-# Server that gets a copy of the run's memory as it grows.
-_COPY_TO = b"kv-backup"
-
-_HOP = frozenset(
+# Requests per second that the server accepts from all instances together.
+_RATE_LIMIT = b"server-limit"
+# Address and handle of the KV cache copy from which the request resumes.
+_RESUME_FROM = b"kv-from"
+# Server from which the prompt's cached prefix is copied, if it is there.
+_FETCH_PREFIX_FROM = b"kv-fetch"
+# Server to which the request's KV cache is replicated as it grows.
+_BACKUP_TO = b"kv-backup"
+
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -47,16 +47,16 @@
         b"upgrade",
     }
 )
-"""Fields that concern one connection only."""
+"""Hop-by-hop fields, which are not forwarded."""
 
-_OURS = frozenset(
+_RESERVED = frozenset(
     {
         _EXPECTED_SERVER,
         _ORGANISATION,
         _URGENCY,
-        _COPY_FROM,
-        _COPY_TO,
-        _FETCH_FROM,
+        _RESUME_FROM,
+        _BACKUP_TO,
+        _FETCH_PREFIX_FROM,
         DEADLINE,
         AUTHORIZATION,
         b"content-length",
@@ -65,41 +65,43 @@
         b"host",
         b"hold",
         b"pin-ms",
-        LAST_EVENT,
+        LAST_EVENT_ID,
     }
 )
-"""Fields that this side sets itself, or that only it may set: a caller that
-sends one could reserve, move or preempt what is not its own, or pose as
-another organisation."""
+"""Fields that only the router may set. A caller that could send them would be
+able to reserve capacity, to move or preempt other callers' requests, or to
+impersonate another organisation."""
 
-_NOT_PASSED_BACK = _HOP | {
+_NOT_RETURNED = _HOP_BY_HOP | {
     b"content-length",
     b"instance-load",
     _NOT_RUN,
-    _LIMIT,
+    _RATE_LIMIT,
 }
 
-MOST_LIMIT = 1e6
-"""Requests a second from which on a limit is taken for a mistake."""
+MAX_RATE_LIMIT = 1e6
+"""Highest valid rate limit in requests per second; a higher one is a fault."""
 
-Fields = list[tuple[bytes, bytes]]
+HeaderFields = list[tuple[bytes, bytes]]
 
 
-def passed_on(fields: Fields) -> tuple[tuple[bytes, bytes], ...]:
-    """Returns those of a caller's fields that go to the server."""
-    named = set()
+def forwarded_fields(fields: HeaderFields) -> tuple[tuple[bytes, bytes], ...]:
+    """Returns the caller's header fields to forward to the server."""
+    connection_fields = set()
     for name, value in fields:
         if name == b"connection":
-            named |= {part.strip().lower() for part in value.split(b",")}
-    left = _HOP | _OURS | named
-    return tuple(item for item in fields if item[0] not in left)
+            connection_fields |= {
+                part.strip().lower() for part in value.split(b",")
+            }
+    dropped = _HOP_BY_HOP | _RESERVED | connection_fields
+    return tuple(item for item in fields if item[0] not in dropped)
 
 
-def prompt_of(fields: dict[bytes, bytes]) -> Prompt | None:
-    """Reads the prompt of a model request; None if it has none.
+def parse_prompt(fields: dict[bytes, bytes]) -> Prompt | None:
+    """Parses the prompt description of a model request; None if there is none.
 
     Raises:
-        ValueError: if a field cannot be read.
+        ValueError: if a field is malformed.
     """
     usage = fields.get(b"token-usage")
     if usage is None:
@@ -119,8 +121,8 @@
     )
 
 
-def key_of(fields: dict[bytes, bytes]) -> str | None:
-    """Returns the caller's key; None if there is none in the usual form."""
+def bearer_key(fields: dict[bytes, bytes]) -> str | None:
+    """Returns the API key of the bearer authorization; None without one."""
     scheme, _, key = fields.get(AUTHORIZATION, b"").partition(b" ")
     if scheme.lower() != b"bearer" or not key.strip():
         return None
@@ -128,10 +130,10 @@
 
 
 class PlatformDialect:
-    """The platform's words between this side and backend servers."""
+    """Encodes requests to backend servers and decodes their responses."""
 
-    def request_headers(self, sending: Sending) -> Fields:
-        """Returns all header fields of a request to a server."""
+    def request_headers(self, sending: Sending) -> HeaderFields:
+        """Returns all header fields of the request to a server."""
         call = sending.call
         fields = [(b"host", call.host.encode("latin-1")), *call.headers]
         left_ms = max(1, int(sending.left_s * MS))
@@ -142,35 +144,35 @@
         if call.organisation:
             fields.append((_ORGANISATION, call.organisation.encode()))
         if call.prompt is not None:
-            fields.append((_URGENCY, URGENT if call.urgent else USUAL))
+            fields.append(
+                (_URGENCY, HIGH_URGENCY if call.urgent else NORMAL_URGENCY)
+            )
         if sending.after:
-            fields.append((LAST_EVENT, sending.after.encode("latin-1")))
+            fields.append((LAST_EVENT_ID, sending.after.encode("latin-1")))
         if sending.copy is not None:
             copy = f"{sending.copy.source}/{sending.copy.handle}"
-            fields.append((_COPY_FROM, copy.encode()))
+            fields.append((_RESUME_FROM, copy.encode()))
         if sending.source is not None:
-            fields.append((_FETCH_FROM, sending.source.address.encode()))
+            fields.append((_FETCH_PREFIX_FROM, sending.source.address.encode()))
         if call.body or call.method not in ("GET", "HEAD", "DELETE"):
             size = str(len(call.body)).encode()
             fields.append((b"content-length", size))
         return fields
 
-    def head(self, status: int, headers: Fields) -> Head:
-        """Reads the head of a server's answer."""
+    def head(self, status: int, headers: HeaderFields) -> Head:
+        """Parses the status and header fields of a server's response."""
         fields = {name.lower(): value for name, value in headers}
         connection = fields.get(b"connection", b"").lower()
-        limit, limit_fault = _limit(fields.get(_LIMIT))
+        limit, limit_fault = _parse_rate_limit(fields.get(_RATE_LIMIT))
         return Head(
             status,
             tuple(
-                item
-                for item in headers
-                if item[0].lower() not in _NOT_PASSED_BACK
+                item for item in headers if item[0].lower() not in _NOT_RETURNED
             ),
             _NOT_RUN in fields or status == MISDIRECTED,
-            fields.get(ATTEMPT, b"").decode("latin-1"),
+            fields.get(ATTEMPT_ID, b"").decode("latin-1"),
             b"close" in connection,
-            _idle_s(fields.get(b"keep-alive", b"")),
+            _keep_alive_s(fields.get(b"keep-alive", b"")),
             status == MISDIRECTED,
             limit,
             limit_fault,
@@ -179,8 +181,8 @@
     def move(
         self, call: Call, source: BackendServer, target: BackendServer
     ) -> Exchange:
-        """Returns the order to stop a run and to copy its memory."""
-        body = _Move(call.id, target.address, True)
+        """Returns the call that stops a request and copies its KV cache."""
+        body = _MoveOrder(call.id, target.address, True)
         return Exchange(
             "POST",
             f"http://{source.address}/-/kv-move",
@@ -192,48 +194,48 @@
     def moved(
         self, reply: Reply, source: BackendServer, target: BackendServer
     ) -> Copy | None:
-        """Reads the answer; None if the run goes on where it is."""
+        """Parses the response to a move; None if the request was not moved."""
         if reply.status not in (200, 503):
             return None
         try:
-            moved = msgspec.json.decode(reply.body, type=_Moved)
+            moved = msgspec.json.decode(reply.body, type=_MoveReply)
         except msgspec.MsgspecError:
             return None
         if not moved.handle:
             return None
-        # Refused with a name: the run has stopped, the other server has no
-        # room, and the memory is where it was.
+        # 503 with a handle: the request has stopped, but the target server
+        # has no capacity, so the KV cache is still at the source.
         at = target if reply.status == 200 else source
         return Copy(source.address, moved.handle, at)
 
 
-class _Move(msgspec.Struct):
-    # Id of the caller's attempt whose run is meant.
+class _MoveOrder(msgspec.Struct):
+    # Attempt id of the request to move.
     id: str
-    # Address of the server that gets the copy.
+    # Address of the server that receives the copy.
     to: str
-    # Whether the run stops first; else it goes on during the copy.
+    # Whether the request stops first; otherwise it continues during the copy.
     final: bool
 
 
-class _Moved(msgspec.Struct):
+class _MoveReply(msgspec.Struct):
     handle: str = ""
 
 
-def _limit(value: bytes | None) -> tuple[float | None, str]:
-    """Returns the limit in a field, and what stands there in place of one."""
+def _parse_rate_limit(value: bytes | None) -> tuple[float | None, str]:
+    """Returns the rate limit, and the field's text if it is not valid."""
     if value is None:
         return None, ""
     try:
         limit = float(value)
     except ValueError:
         limit = math.nan
-    if 0 <= limit <= MOST_LIMIT:
+    if 0 <= limit <= MAX_RATE_LIMIT:
         return limit, ""
     return None, value[:80].decode("latin-1")
 
 
-def _idle_s(value: bytes) -> float | None:
+def _keep_alive_s(value: bytes) -> float | None:
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.lower() == b"timeout" and seconds.isdigit():
--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -135,14 +135,14 @@
             raise NotFoundError(f"no route for {host}{path[:80]}")
         holder = None
         if catalog.keyed and not route.anonymous:
-            holder = catalog.holders.get(headers.key_of(by_name) or "")
+            holder = catalog.holders.get(headers.bearer_key(by_name) or "")
             if holder is None:
                 self._only_if_current("the key is not known here")
                 raise UnknownKeyError("the key belongs to no organisation")
         rank = route.rank
         if holder is not None and holder.rank is not None:
             rank = holder.rank
-        attempt = by_name.get(headers.ATTEMPT, b"").decode("latin-1")
+        attempt = by_name.get(headers.ATTEMPT_ID, b"").decode("latin-1")
         query = scope["query_string"]
         return Call(
             attempt,
@@ -154,10 +154,10 @@
             scope["method"],
             host,
             scope["raw_path"] + (b"?" + query if query else b""),
-            headers.passed_on(fields),
+            headers.forwarded_fields(fields),
             body,
             _prompt(by_name, route),
-            by_name.get(headers.LAST_EVENT, b"").decode("latin-1"),
+            by_name.get(headers.LAST_EVENT_ID, b"").decode("latin-1"),
             arrived,
             arrived + _limit_s(by_name, route),
         )
@@ -233,7 +233,7 @@
             (b"content-length", str(len(body)).encode()),
         ]
         if self.attempt:
-            fields.append((headers.ATTEMPT, self.attempt))
+            fields.append((headers.ATTEMPT_ID, self.attempt))
         if retry_s is not None:
             fields.append((b"retry-after", f"{retry_s:g}".encode()))
         await self.start(status, tuple(fields))
@@ -242,7 +242,7 @@
 
 def _attempt_of(scope) -> bytes:
     for name, value in scope["headers"]:
-        if name == headers.ATTEMPT:
+        if name == headers.ATTEMPT_ID:
             return value
     return b""
 
@@ -251,7 +251,7 @@
     if not route.model:
         return None
     try:
-        return headers.prompt_of(by_name)
+        return headers.parse_prompt(by_name)
     except ValueError as exc:
         raise BadRequestError(
             f"the prompt's fields cannot be read: {exc}",
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -381,10 +381,10 @@
         "test_platform.FailuresTest.test_refused_move_is_no_second_run",
     ),
     Safeguard(
-        "callers do not set the system's fields",
+        "reserved header fields of callers are dropped",
         "platform/headers",
-        "left = _HOP | _OURS | named",
-        "left = _HOP | named",
+        "dropped = _HOP_BY_HOP | _RESERVED | connection_fields",
+        "dropped = _HOP_BY_HOP | connection_fields",
         "test_platform.RequestsTest.test_plain_request",
     ),
     Safeguard(
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's words, decoded once, and nothing of them elsewhere."""
+"""Tests that the adapter decodes the platform's formats, and only it does."""
 
 import os
 import pathlib
@@ -65,7 +65,7 @@
 
 
 class BootFileTest(unittest.TestCase):
-    """The settings file."""
+    """Parsing of the settings file."""
 
     def test_read(self) -> None:
         boot = bootfile.parse(BOOT, "x").unwrap()
@@ -90,7 +90,7 @@
 
 
 class DeployFileTest(unittest.TestCase):
-    """The file by which the platform builds and starts instances."""
+    """Checks of the deploy file."""
 
     def test_own(self) -> None:
         loaded = deployfile.load(ROOT / "deploy/system.toml")
@@ -127,7 +127,7 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    """Configuration and servers' rows."""
+    """Decoding of the configuration and of servers' rows."""
 
     def setUp(self) -> None:
         data = msgspec.json.encode(CONFIGURATION)
@@ -149,23 +149,24 @@
         self.assertEqual(self.catalog.services["one"].engine.slots, 8)
 
     def test_patience_of_callers(self) -> None:
-        # Two seconds, four objectives or eight pauses, whichever is longest.
+        # The longest of 2 s, four times the latency objective and eight times
+        # the longest pause.
         base = {**CONFIGURATION["routes"][0], "routeType": "streaming"}
         for objective, pause, patience_s in (
             (300, 120, 2.0),
             (800, 200, 3.2),
             (300, 1000, 8.0),
         ):
-            changed = {"targetLatencyMs": objective, "gapTargetMs": pause}
-            data = {**CONFIGURATION, "routes": [{**base, **changed}]}
+            changes = {"targetLatencyMs": objective, "gapTargetMs": pause}
+            data = {**CONFIGURATION, "routes": [{**base, **changes}]}
             catalog = documents.catalog(msgspec.json.encode(data))
             self.assertEqual(catalog.routes[0].patience_s, patience_s)
 
     def test_levels_keep_the_routes_order(self) -> None:
-        # Every organisation has a rank of its own. Where that replaced the
-        # routes' ranks, summaries and long studies of an organisation were
-        # alike to the engines, and a full engine preempted summaries while
-        # studies ran on.
+        # Guards against a rank of an organisation that replaces those of the
+        # routes: engines then saw summaries and long studies of an
+        # organisation as equal, and a full engine preempted the summaries
+        # while the studies continued.
         routes = [
             {**CONFIGURATION["routes"][0], "name": name, "prefix": f"/{name}/"}
             | {"priorityClass": rank, "sessionAffinity": True}
@@ -192,9 +193,9 @@
             self.assertEqual(len(set(seen)), len(set(levels)))
             self.assertLess(max(levels), 6)
 
-    def test_engines_know_two_grades(self) -> None:
-        # Guards against chats of one organisation put back at a full engine
-        # for those of another, while long studies ran on there.
+    def test_requests_have_two_urgencies(self) -> None:
+        # Guards against a full engine that preempts one organisation's chats
+        # in favour of another's while long studies continue there.
         routes = [
             {**CONFIGURATION["routes"][0], "name": name, "prefix": f"/{name}/"}
             | {"priorityClass": rank, "sessionAffinity": True}
@@ -210,7 +211,7 @@
         for (_, name), found in urgent.items():
             self.assertEqual(found, name == "chat")
 
-    def test_organisations_decide_among_routes_that_rank_alike(self) -> None:
+    def test_organisation_ranks_decide_between_equal_routes(self) -> None:
         tenants = [
             {"name": f"t{rank}", "apiKeys": [f"k{rank}"], "priorityClass": rank}
             for rank in (1, 3)
@@ -231,19 +232,19 @@
 
 
 class HeadersTest(unittest.TestCase):
-    """Header fields."""
+    """Parsing and encoding of header fields."""
 
     def test_prompt(self) -> None:
-        prompt = headers.prompt_of(
+        prompt = headers.parse_prompt(
             {b"token-usage": b"1460,80", b"prefix-hash": b"5c:800, 91:410"}
         )
         self.assertEqual([part.tokens for part in prompt.parts], [800, 410])
-        self.assertIsNone(headers.prompt_of({}))
+        self.assertIsNone(headers.parse_prompt({}))
         with self.assertRaises(ValueError):
-            headers.prompt_of({b"token-usage": b"x"})
+            headers.parse_prompt({b"token-usage": b"x"})
 
-    def test_connection_fields_stay(self) -> None:
-        passed = headers.passed_on(
+    def test_hop_by_hop_fields_are_dropped(self) -> None:
+        passed = headers.forwarded_fields(
             [
                 (b"connection", b"close, X-Mine"),
                 (b"x-mine", b"1"),
@@ -254,7 +255,7 @@
         )
         self.assertEqual(passed, ((b"accept", b"*/*"),))
 
-    def test_answer_head(self) -> None:
+    def test_response_head(self) -> None:
         dialect = headers.PlatformDialect()
         head = dialect.head(
             503,
@@ -269,11 +270,13 @@
         self.assertEqual(head.idle_s, 5.0)
         self.assertEqual(head.headers, ((b"Server-Signature", b"s"),))
 
-    def test_source_of_the_start(self) -> None:
-        # Which server a prompt's start is copied from is this side's to say:
-        # a caller could make servers copy what it likes.
+    def test_source_of_the_cached_prefix(self) -> None:
+        # Guards against a caller that chooses the server from which the
+        # prompt's prefix is copied: it could make servers copy any data.
         dialect = headers.PlatformDialect()
-        sent = headers.passed_on([(b"kv-fetch", b"9.9.9.9:9"), (b"a", b"b")])
+        sent = headers.forwarded_fields(
+            [(b"kv-fetch", b"9.9.9.9:9"), (b"a", b"b")]
+        )
         self.assertEqual(sent, ((b"a", b"b"),))
         here = BackendServer("a", "pool", "1.1.1.1:1", "z", 1, False)
         there = BackendServer("b", "pool", "2.2.2.2:2", "z", 1, False)
@@ -285,8 +288,8 @@
         self.assertNotIn(b"kv-fetch", fields)
 
     def test_move(self) -> None:
-        # Refused with a handle: the run has stopped and its memory is still
-        # at the first server, so the request goes on there.
+        # A refusal with a handle means that the request has stopped and its
+        # KV cache is still at the source, so the request resumes there.
         dialect = headers.PlatformDialect()
         source = BackendServer("a", "pool", "1.1.1.1:1", "z", 1, True)
         target = BackendServer("b", "pool", "2.2.2.2:2", "z", 1, False)
@@ -304,7 +307,7 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    """Nothing outside the adapter knows a name of the platform's wire."""
+    """No module outside the adapter uses names of the platform's formats."""
 
     NAMES = (
         "attempt-id",
@@ -345,7 +348,7 @@
         package = ROOT / "src/jasminerelay"
         for path in package.glob("*.py"):
             if path.name == "localcommands.py":
-                # The tool, which wires commands of both interfaces.
+                # The command-line tool has commands for both interfaces.
                 continue
             self.assertNotIn(
                 "jasminerelay.platform", path.read_text(), path.name
@@ -353,11 +356,11 @@
 
 
 class EventLogTest(unittest.TestCase):
-    """Structured log lines."""
+    """The structured event log."""
 
-    def test_reader_that_does_not_read(self) -> None:
-        # The process that collects the logs stands still. Lines are dropped
-        # and counted; the instance goes on at once.
+    def test_log_collector_that_stops_reading(self) -> None:
+        # Guards against an instance that blocks because the process that
+        # collects its log stops reading. Lines are dropped and counted.
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
@@ -369,9 +372,9 @@
         while os.read(reader, 1 << 16).endswith(b"x"):
             pass
 
-    def test_bounded_and_trouble_kept(self) -> None:
-        # A flood of ordinary lines does not displace those on trouble, and
-        # the next line tells how many were left out.
+    def test_trouble_is_kept_in_a_flood(self) -> None:
+        # Guards against a flood of info lines that displaces trouble lines.
+        # The next line states how many were dropped.
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         log = EventLog("edge-1", writer)
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -324,7 +324,7 @@
         strategies.binary(max_size=30)))  # fmt: skip
     def test_prompt_fields(self, fields: dict[bytes, bytes]) -> None:
         try:
-            headers.prompt_of(fields)
+            headers.parse_prompt(fields)
         except ValueError as exc:
             self.assertTrue(str(exc))
 
