--- a/src/jasminerelay/platform/doors.py
+++ b/src/jasminerelay/platform/doors.py
@@ -1,4 +1,4 @@
-"""Small ports of the platform: readiness, and which address to use."""
+"""Endpoints for readiness, the instances' addresses and metrics."""
 
 from collections.abc import Callable
 from urllib.parse import parse_qs
@@ -12,8 +12,8 @@
 MAX_ADDRESSES = 64
 
 
-class Doors:
-    """Answers the platform's questions, as an ASGI application."""
+class StatusApp:
+    """ASGI application for readiness probes, address resolution and metrics."""
 
     def __init__(
         self,
@@ -22,13 +22,13 @@
         ttl_s: Callable[[], float],
         metrics: Callable[[], bytes],
     ):
-        """Makes the application.
+        """Creates the application.
 
         Args:
-            ready: Returns whether callers may be sent here.
-            entries: Returns the instances for a caller of a zone, best first.
-            ttl_s: Returns how long a caller may keep them.
-            metrics: Returns the counters as text.
+            ready: Returns whether this instance accepts callers.
+            entries: Returns the instances for callers in a zone, best first.
+            ttl_s: Returns how long a caller may cache the addresses.
+            metrics: Returns the metrics in text format.
         """
         self._ready = ready
         self._entries = entries
@@ -42,20 +42,20 @@
         path = scope["path"]
         if path == READY_PATH:
             ready = self._ready()
-            await _answer(send, 200 if ready else 503, b"")
+            await _respond(send, 200 if ready else 503, b"")
         elif path == RESOLVE_PATH:
             await self._resolve(scope, send)
         elif path == "/metrics":
-            await _answer(send, 200, self._metrics())
+            await _respond(send, 200, self._metrics())
         else:
-            await _answer(send, 404, b"")
+            await _respond(send, 404, b"")
 
     async def _resolve(self, scope, send) -> None:
         query = parse_qs(scope["query_string"].decode("latin-1"))
         zone = query.get("zone", [""])[0]
         members = self._entries(zone)[:MAX_ADDRESSES]
         if not members:
-            await _answer(send, 503, b"")
+            await _respond(send, 503, b"")
             return
         body = msgspec.json.encode(
             {
@@ -63,10 +63,10 @@
                 "ttlS": self._ttl_s(),
             }
         )
-        await _answer(send, 200, body, b"application/json")
+        await _respond(send, 200, body, b"application/json")
 
 
-async def _answer(
+async def _respond(
     send, status: int, body: bytes, kind: bytes = b"text/plain"
 ) -> None:
     await send(
--- a/src/jasminerelay/platform/dutyapi.py
+++ b/src/jasminerelay/platform/dutyapi.py
@@ -1,4 +1,7 @@
-"""Calls to the platform that one instance at a time makes."""
+"""Client of the platform's API for usage reports and server orders.
+
+Only one instance at a time makes these calls, under a lease.
+"""
 
 from typing import Any
 
@@ -17,8 +20,8 @@
 
 OK = 200
 CONFLICT = 409
-TOO_MANY = 429
-DOWN = 503
+TOO_MANY_REQUESTS = 429
+SERVICE_UNAVAILABLE = 503
 
 
 class _Usage(msgspec.Struct):
@@ -29,13 +32,13 @@
 class _Scale(msgspec.Struct, omit_defaults=True):
     service: str = msgspec.field(name="backend")
     zone: str
-    # Of this kind alone, however many of the other there are.
+    # Number of servers of this kind, preemptible or not, without the others.
     count: int = msgspec.field(name="desiredCount")
     preemptible: bool = False
 
 
 class DutyApi:
-    """Sends reports and orders under a fencing number."""
+    """Sends usage reports and server orders with a fencing token."""
 
     def __init__(
         self,
@@ -45,14 +48,14 @@
         timeout_s: float,
         log: EventLog,
     ):
-        """Makes the client.
+        """Creates the client.
 
         Args:
-            client: Opens and keeps the connections.
-            address: IP:port that takes the calls.
+            client: HTTP client.
+            address: IP:port of the platform's API.
             name: Name of this instance.
-            timeout_s: Longest wait for an answer.
-            log: Takes what was answered.
+            timeout_s: Time limit for a call.
+            log: Event log for failed calls.
         """
         self._client = client
         self._base = f"http://{address}"
@@ -61,12 +64,12 @@
         self._log = log
 
     async def report(self, report: Report, fence: int) -> Said:
-        """Reports a window's usage."""
+        """Reports the usage of a window."""
         body = _Usage(report.window, report.counts)
         return await self._post("/usage", body, fence)
 
     async def order(self, order: Order, fence: int) -> Said:
-        """Orders a number of servers."""
+        """Sets the number of servers to run."""
         body = _Scale(order.service, order.zone, order.count, order.preemptible)
         return await self._post("/scale", body, fence)
 
@@ -97,14 +100,14 @@
                 status=reply.status,
                 why=reply.body.decode("utf-8", "replace")[:200],
             )
-        return _said(reply.status)
+        return _result_of(reply.status)
 
 
-def _said(status: int) -> Said:
+def _result_of(status: int) -> Said:
     if status == OK:
         return Said.DONE
     if status == CONFLICT:
         return Said.CONFLICT
-    if status in (TOO_MANY, DOWN):
+    if status in (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE):
         return Said.BUSY
     return Said.NOTHING
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -1,4 +1,4 @@
-"""Wires an instance's part in the duties."""
+"""Assembles the components of an instance that perform duties."""
 
 import time
 
@@ -24,13 +24,13 @@
 
 LEASE_SHARE = 2 / 3
 RENEW_SHARE = 1 / 3
-CALL_SHARE = 1 / 6
-"""Length of the lease, its age at which it is renewed, and longest wait for an
-answer, as parts of the time in which no two instances may act in turns: a
-holder that dies is followed within that time."""
+CALL_TIMEOUT_SHARE = 1 / 6
+"""Duration of the lease, its age at renewal, and the time limit for a call, as
+fractions of the time within which only one instance may make calls. The
+fractions let another instance replace a dead lease holder within that time."""
 
 
-def wire_duties(
+def build_duties(
     boot: Boot,
     own: Member,
     store: Store,
@@ -40,25 +40,25 @@
     counters: Counters,
     log: EventLog,
 ) -> Duties | None:
-    """Returns this instance's part; None where there are no duties."""
-    rules = boot.duty_calls
-    if rules is None or not (rules.usage or rules.servers):
+    """Returns the duties of this instance; None if none are configured."""
+    options = boot.duty_calls
+    if options is None or not (options.usage or options.servers):
         return None
-    call_s = rules.lease_s * CALL_SHARE
+    call_s = options.lease_s * CALL_TIMEOUT_SHARE
     lease = Lease(
-        rules.lease_s * LEASE_SHARE,
+        options.lease_s * LEASE_SHARE,
         call_s,
-        renew_s=rules.lease_s * RENEW_SHARE,
-        # Two acts may be on their way for unlike times.
-        turn_s=rules.lease_s + call_s,
+        renew_s=options.lease_s * RENEW_SHARE,
+        # The delays of two calls on the network may differ by up to call_s.
+        turn_s=options.lease_s + call_s,
         started=now_s(),
     )
     table = DutyTable(store, log)
     keeper = LeaseKeeper(table, lease, boot.name, own.instance, now_s)
-    calls = DutyApi(client, rules.address, boot.name, call_s, log)
-    desk = DutyDesk(keeper, calls, rules.calls_s, now_s, counters, log)
+    calls = DutyApi(client, options.address, boot.name, call_s, log)
+    desk = DutyDesk(keeper, calls, options.calls_s, now_s, counters, log)
     clock = TrueClock(now_s(), time.time())
-    usage = OwnUsage(rules.window_s)
+    usage = OwnUsage(options.window_s)
     ledger = UsageLedger()
     duties = Duties(
         own,
@@ -73,18 +73,18 @@
         log,
     )
     duties.first_start = boot.first_start
-    if rules.usage:
+    if options.usage:
         duties.reports = UsageReports(
             desk,
             table,
             ledger,
-            rules.window_s,
-            rules.late_s,
+            options.window_s,
+            options.late_s,
             duties.true_s,
             counters,
             log,
         )
-    if rules.servers:
+    if options.servers:
         duties.orders = ServerOrders(
             desk, registry, duties.work, now_s, counters, log
         )
--- a/src/jasminerelay/platform/release.py
+++ b/src/jasminerelay/platform/release.py
@@ -1,4 +1,4 @@
-"""Lets a request be sent again that is blocked."""
+"""Unblocks a request that was blocked after server crashes."""
 
 import anyio
 
@@ -9,10 +9,10 @@
 
 
 def release(fingerprint: str, address: str) -> None:
-    """Writes the release to the store.
+    """Writes to the store that a request is no longer blocked.
 
     Args:
-        fingerprint: Names the request.
+        fingerprint: Fingerprint of the request.
         address: IP:port of the store.
 
     Raises:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -42,10 +42,10 @@
 from jasminerelay.peerlink import PeerLink, SnapshotApp
 from jasminerelay.platform import bootfile, documents
 from jasminerelay.platform.bootfile import Boot
-from jasminerelay.platform.doors import Doors
-from jasminerelay.platform.dutyroot import wire_duties
+from jasminerelay.platform.doors import StatusApp
+from jasminerelay.platform.dutyroot import build_duties
 from jasminerelay.platform.headers import PlatformDialect
-from jasminerelay.platform.ingress import Front, Ingress
+from jasminerelay.platform.ingress import Ingress, IngressContext
 from jasminerelay.platform.storeclient import Store
 from jasminerelay.platform.tables import (
     CONFIGURATION_KEY,
@@ -329,7 +329,7 @@
         self._peers.wire_cells(self._owned, self._asking, self._followers)
 
     def _wire_duties(self) -> None:
-        self._duties: Duties | None = wire_duties(
+        self._duties: Duties | None = build_duties(
             self.boot,
             self._peers.membership.own,
             self._store,
@@ -366,7 +366,7 @@
             self._duties.began if self._duties else lambda *_: None,
             self._versions,
         )
-        front = Front(
+        front = IngressContext(
             kit,
             lambda: self.registry.catalog if self.registry.complete else None,
             lambda: self.current,
@@ -374,7 +374,7 @@
             self._takes,
             self.log,
         )
-        doors = Doors(
+        status = StatusApp(
             lambda: self.ready,
             self._entries,
             lambda: min(ENTRY_TTL_S, self.boot.entry_ttl_s),
@@ -388,14 +388,14 @@
         self._callers_port = ports.port(Ingress(front), boot.callers, **options)
         self._ports = [
             self._callers_port,
-            ports.port(doors, boot.readiness, **options),
-            ports.port(doors, boot.entries, **options),
+            ports.port(status, boot.readiness, **options),
+            ports.port(status, boot.entries, **options),
             ports.port(SnapshotApp(self.registry), boot.peers, **options),
         ]
         metrics_port = os.environ.get(METRICS_VARIABLE)
         if metrics_port:
             address = f"{boot.ip}:{metrics_port}"
-            self._ports.append(ports.port(doors, address, **options))
+            self._ports.append(ports.port(status, address, **options))
 
     def _head_bounds(self) -> HeadBounds:
         catalog = self.registry.catalog
--- a/src/jasminerelay/platform/start.py
+++ b/src/jasminerelay/platform/start.py
@@ -8,10 +8,11 @@
 def main() -> int:
     """Runs the instance; returns its exit status."""
     stopsignals.answer_early()
-    # Settings that change while it starts are found when they are next looked
-    # at; the default action would end the process.
+    # SIGHUP's default action would end the process. Settings that change
+    # during the start are found at the next periodic reload.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Imported only now: whatever signal comes first is answered from here on.
+    # Imported only after the signal handlers are installed, since the import
+    # is slow and a signal may arrive during it.
     from jasminerelay.platform.root import main as run
 
     return run()
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -388,9 +388,9 @@
         "test_platform.RequestsTest.test_plain_request",
     ),
     Safeguard(
-        "not found only while in touch",
+        "not found only with a current configuration",
         "platform/ingress",
-        "if not self._front.current():",
+        "if not self._context.is_current():",
         "if False:",
         "test_platforminstances.StoreOutageTest.test_unknown_route_without_touch",
     ),
@@ -447,7 +447,7 @@
         "test_platforminstances.SlowCallerTest.test_times_of_the_configuration",
     ),
     Safeguard(
-        "a body that pauses too long is refused",
+        "a body that pauses for too long is refused",
         "platform/ingress",
         "with anyio.move_on_after(bounds.idle_s) as scope:",
         "with anyio.move_on_after(1e6) as scope:",
