--- a/src/jasminerelay/platform/storeclient.py
+++ b/src/jasminerelay/platform/storeclient.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store."""
+"""Client of the platform's store."""
 
 import base64
 import dataclasses
@@ -22,20 +22,20 @@
 from jasminerelay.schema.messages import ServerRow
 
 RETRY_S = 0.5
-"""When a call that the store did not take is worth another try."""
+"""Retry-After of a failed call to the store."""
 
 CALL_TIMEOUT_S = 1.0
-"""Silence after which a call is given up, beyond the time that it waits. The
-store answers in milliseconds, a slow one within 0.3 s; a connection that died
-without a reset shows in no other way. A call that an outage has left without an
-answer, the pause after it and the next call fit into the two seconds in which
-a change must be in force."""
+"""Time limit for a call, in addition to its long-poll time. The store responds
+within milliseconds, a slow one within 0.3 s; only a time-out detects a
+connection that died without a reset. A call that times out in an outage, the
+pause after it and the next call fit into the two seconds within which a change
+must be in force."""
 
 CONDITION_FAILED = 412
 MS = 1e3
 
 PAGE_ROWS = 500
-"""Rows of one answer, the most that the store gives."""
+"""Rows per response; the store's maximum."""
 
 
 class _Row(msgspec.Struct):
@@ -45,23 +45,23 @@
     deleted: bool = False
 
 
-class _Answer(msgspec.Struct):
+class _Response(msgspec.Struct):
     rows: list[_Row] = msgspec.field(default_factory=list)
-    # Of the whole store, not of a schema or a row.
+    # Version of the whole store, not of a schema or a row.
     version: int = msgspec.field(name="schemaVersion", default=0)
     more: bool = msgspec.field(name="hasMore", default=False)
-    # Of the store's steady clock, whose zero means nothing.
+    # Reading of the store's monotonic clock, whose origin is arbitrary.
     now_ms: float = msgspec.field(name="nowMs", default=0.0)
 
 
 @dataclasses.dataclass(frozen=True)
 class Condition:
-    """A version that a row must have for a transaction to take place.
+    """A version that a row must have for a transaction to be committed.
 
     Attributes:
         table: The row's table.
         key: Its key.
-        version: The version; 0 if there must be no such row.
+        version: The version; 0 if the row must not exist.
     """
 
     table: str
@@ -76,7 +76,7 @@
     Attributes:
         table: Its table.
         key: Its key.
-        data: Its content.
+        data: Its content, encoded.
     """
 
     table: str
@@ -85,14 +85,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Committed:
-    """The outcome of a transaction.
+class CommitResult:
+    """The result of a transaction.
 
     Attributes:
-        done: Whether its conditions held and it took effect.
-        version: The store's version after it.
-        rows: The rows of its conditions, if they did not hold.
-        now_s: The store's clock as it answered, in seconds.
+        done: Whether the conditions held and the changes took effect.
+        version: The store's version after the transaction.
+        rows: The rows named in the conditions, if these did not hold.
+        now_s: The store's clock at the time of the response, in seconds.
     """
 
     done: bool
@@ -102,35 +102,35 @@
 
 
 class Store:
-    """Tables of the platform's store.
+    """Reads and writes tables of the platform's store.
 
-    Every method raises StoreError if there is no answer; a write may then
-    have taken effect, or may still do so.
+    Every method raises StoreError if the store does not respond. A write may
+    then have taken effect, or may still do so.
     """
 
     def __init__(self, client: Client, address: str):
-        """Makes the client.
+        """Creates the client.
 
         Args:
-            client: Opens and keeps the connections.
+            client: HTTP client.
             address: IP:port of the store.
         """
         self._client = client
         self._base = f"http://{address}"
-        self._ahead_s = -math.inf
+        self._max_clock_offset_s = -math.inf
 
-    def latest_now_s(self) -> float:
-        """Returns the latest time that the store's clock may show now.
+    def latest_store_now_s(self) -> float:
+        """Returns an upper bound of the store's clock at this moment.
 
-        Minus infinity before its first answer.
+        Minus infinity before the store's first response.
         """
-        return now_s() + self._ahead_s
+        return now_s() + self._max_clock_offset_s
 
     async def read(self, table: str) -> Page:
-        """Returns all rows of a table's unnamed part.
+        """Returns all rows of a table's unnamed partition.
 
-        Pages are read one after another; the version is the first one's, so
-        that following the changes from it misses none.
+        Reads the pages one after another. The returned version is that of the
+        first page, so that following the changes from it misses none.
         """
         rows: list[ServerRow] = []
         version = None
@@ -139,57 +139,63 @@
             query = {"table": table, "part": "", "limit": PAGE_ROWS}
             if source:
                 query["source"] = source
-            sent = now_s()
-            answer = await self._get("/-/rows-get", query, CALL_TIMEOUT_S)
-            self._saw_clock(answer, sent)
-            rows += [_row(item) for item in answer.rows]
-            version = answer.version if version is None else version
-            if not answer.more or not answer.rows:
-                return Page(tuple(rows), version, answer.now_ms / MS)
-            source = answer.rows[-1].key + "\x00"
+            sent_at = now_s()
+            response = await self._get("/-/rows-get", query, CALL_TIMEOUT_S)
+            self._update_clock_offset(response, sent_at)
+            rows += [_row(item) for item in response.rows]
+            version = response.version if version is None else version
+            if not response.more or not response.rows:
+                return Page(tuple(rows), version, response.now_ms / MS)
+            source = response.rows[-1].key + "\x00"
 
     async def changes(self, table: str, after: int, wait_s: float) -> Page:
         """Waits for rows of a table that changed after a version.
 
         Raises:
-            HistoryGoneError: if the changes since then are no longer kept.
+            HistoryGoneError: if the store has discarded changes since then.
         """
         query = {"table": table, "after": after, "waitMs": int(wait_s * 1000)}
-        answer = await self._get("/-/rows-feed", query, wait_s + CALL_TIMEOUT_S)
-        return Page(tuple(_row(item) for item in answer.rows), answer.version)
+        response = await self._get(
+            "/-/rows-feed", query, wait_s + CALL_TIMEOUT_S
+        )
+        return Page(
+            tuple(_row(item) for item in response.rows), response.version
+        )
 
     async def write(self, table: str, key: str, data: bytes) -> None:
-        """Writes a row, whatever stands there."""
-        _check(await self._transact([], [NewRow(table, key, data)], []))
+        """Writes a row unconditionally."""
+        _raise_for_status(
+            await self._transact([], [NewRow(table, key, data)], [])
+        )
 
     async def remove(self, table: str, key: str) -> None:
-        """Removes a row, if it is there."""
-        _check(await self._transact([], [], [(table, key)]))
+        """Removes a row if it exists."""
+        _raise_for_status(await self._transact([], [], [(table, key)]))
 
     async def commit(
         self,
         conditions: Sequence[Condition],
         write: Sequence[NewRow],
         remove: Sequence[tuple[str, str]] = (),
-    ) -> Committed:
-        """Writes and removes rows if others have the versions they must have.
+    ) -> CommitResult:
+        """Writes and removes rows in one transaction if all conditions hold.
 
         Args:
-            conditions: The versions.
+            conditions: Versions that rows must have.
             write: Rows to write.
             remove: Tables and keys of rows to remove.
         """
-        sent = now_s()
+        sent_at = now_s()
         reply = await self._transact(conditions, write, remove)
         if reply.status != CONDITION_FAILED:
-            _check(reply)
-        answer = _decoded(reply)
-        self._saw_clock(answer, sent)
-        return Committed(
+            _raise_for_status(reply)
+        response = _decode(reply)
+        self._update_clock_offset(response, sent_at)
+        return CommitResult(
             reply.status != CONDITION_FAILED,
-            answer.version,
-            tuple(_row(item) for item in answer.rows),
-            answer.now_ms / MS,
+            response.version,
+            tuple(_row(item) for item in response.rows),
+            response.now_ms / MS,
         )
 
     async def _transact(
@@ -201,17 +207,17 @@
         body = msgspec.json.encode(
             {
                 "expect": [
-                    {**_place(x.table, x.key), "schemaVersion": x.version}
+                    {**_row_key(x.table, x.key), "schemaVersion": x.version}
                     for x in conditions
                 ],
                 "write": [
                     {
-                        **_place(x.table, x.key),
+                        **_row_key(x.table, x.key),
                         "data": base64.b64encode(x.data).decode(),
                     }
                     for x in write
                 ],
-                "remove": [_place(table, key) for table, key in remove],
+                "remove": [_row_key(table, key) for table, key in remove],
             }
         )
         exchange = Exchange(
@@ -225,43 +231,46 @@
 
     async def _get(
         self, path: str, query: dict[str, Any], timeout_s: float
-    ) -> _Answer:
+    ) -> _Response:
         url = f"{self._base}{path}?{urlencode(query)}"
         reply = await self._call(Exchange("GET", url, timeout_s=timeout_s))
         if reply.status == 410:
-            raise HistoryGoneError("the changes asked for are gone")
-        _check(reply)
-        return _decoded(reply)
+            raise HistoryGoneError("the requested changes were discarded")
+        _raise_for_status(reply)
+        return _decode(reply)
 
     async def _call(self, exchange: Exchange) -> Reply:
         try:
             return await self._client.call(exchange)
         except (NotSentError, BrokenError) as exc:
             raise StoreError(
-                f"the store did not answer: {exc}", retry_s=RETRY_S
+                f"the store did not respond: {exc}", retry_s=RETRY_S
             ) from exc
 
-    def _saw_clock(self, answer: _Answer, sent: float) -> None:
-        # It showed this when the call was sent at the earliest.
-        self._ahead_s = answer.now_ms / MS - sent
+    def _update_clock_offset(self, response: _Response, sent_at: float) -> None:
+        # The store read its clock after the call was sent, so the difference is
+        # an upper bound of the offset.
+        self._max_clock_offset_s = response.now_ms / MS - sent_at
 
 
-def _decoded(reply: Reply) -> _Answer:
+def _decode(reply: Reply) -> _Response:
     try:
-        return msgspec.json.decode(reply.body, type=_Answer)
+        return msgspec.json.decode(reply.body, type=_Response)
     except msgspec.MsgspecError as exc:
         raise StoreError(
-            f"unreadable answer of the store: {exc}", retry_s=RETRY_S
+            f"malformed response of the store: {exc}", retry_s=RETRY_S
         ) from exc
 
 
-def _place(table: str, key: str) -> dict[str, str]:
+def _row_key(table: str, key: str) -> dict[str, str]:
     return {"table": table, "part": "", "key": key}
 
 
-def _check(reply: Reply) -> None:
+def _raise_for_status(reply: Reply) -> None:
     if reply.status != 200:
-        raise StoreError(f"the store answered {reply.status}", retry_s=RETRY_S)
+        raise StoreError(
+            f"the store responded with status {reply.status}", retry_s=RETRY_S
+        )
 
 
 def _row(raw: _Row) -> ServerRow:
@@ -270,7 +279,7 @@
     try:
         data = base64.b64decode(raw.data, validate=True)
     except ValueError:
-        # Whoever decodes the row finds it unreadable and says so; one bad row
-        # must not hide the others of its page.
+        # One malformed row must not hide the others of its page. The decoder
+        # of the row's content reports it.
         data = b""
     return ServerRow(raw.key, raw.version, data)
--- a/src/jasminerelay/platform/tables.py
+++ b/src/jasminerelay/platform/tables.py
@@ -1,4 +1,4 @@
-"""The platform's tables as sources of rows."""
+"""Tables of the platform's store that an instance reads and writes."""
 
 import dataclasses
 import math
@@ -22,7 +22,8 @@
 LEASE_KEY = "lease"
 REPORT_PREFIX = "usage/"
 REPORTS_KEPT = 12
-"""Reports whose rows stay: those that may still be sent, and some more."""
+"""Number of latest reports whose rows are kept: those that may still be sent,
+and a few more."""
 
 MS = 1e3
 
@@ -48,11 +49,12 @@
 
 
 class InstanceTable:
-    """Addresses of instances, a row each, by which a new one finds others.
+    """Addresses of the instances, one per row, for the discovery of peers.
 
-    Rows are written at the start and removed at a planned stop only. That an
-    instance lives is told between the instances; rows renewed by a timer and
-    read by everyone would cost the store the square of their number.
+    An instance writes its row when it starts and removes it at a planned stop
+    only. Liveness is exchanged between the instances: rows that every instance
+    renewed periodically and read would load the store with the square of the
+    number of instances.
     """
 
     def __init__(self, store: Store, name: str, log: EventLog):
@@ -61,16 +63,16 @@
         self._log = log
 
     async def register(self, peers: str) -> None:
-        """Writes this instance's row; raises StoreError without answer."""
+        """Writes this instance's row; raises StoreError on failure."""
         body = msgspec.json.encode(_Instance(peers))
         await self._store.write(INSTANCES_TABLE, self._name, body)
 
     async def unregister(self) -> None:
-        """Removes this instance's row; raises StoreError without answer."""
+        """Removes this instance's row; raises StoreError on failure."""
         await self._store.remove(INSTANCES_TABLE, self._name)
 
     async def addresses(self) -> set[str]:
-        """Returns the addresses of all; raises StoreError without answer."""
+        """Returns all instances' addresses; raises StoreError on failure."""
         found = set()
         for row in (await self._store.read(INSTANCES_TABLE)).rows:
             if row.data is None:
@@ -78,7 +80,7 @@
             try:
                 instance = msgspec.json.decode(row.data, type=_Instance)
             except msgspec.MsgspecError as exc:
-                # One bad row must not keep an instance from all others.
+                # One malformed row must not hide the other instances.
                 self._log.trouble(
                     "instance_unreadable", row=row.id, why=str(exc)
                 )
@@ -88,7 +90,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Held:
+class _StoredLease:
     version: int
     row: LeaseRow | None
     age_s: float
@@ -96,19 +98,19 @@
 
 class _LeaseBody(msgspec.Struct):
     row: LeaseRow
-    # Latest time that the store's clock may have shown as it was sent.
+    # Upper bound of the store's clock when the row was sent.
     at_ms: float
 
 
 class DutyTable:
-    """The lease of the duties, and the reports of usage that were decided.
+    """The lease of the duties, and the usage reports that are final.
 
-    A report is written with the lease and under its condition: whoever does
-    not hold the lease decides nothing, and whoever holds it next finds what
-    was decided, in the same words.
+    A report is written in one transaction with the lease, on condition that
+    the lease is unchanged. Only the lease holder can therefore finalize a
+    report, and the next holder finds the same counts.
 
     Attributes:
-        reports: Counts of the windows that are known to be decided.
+        reports: Counts of the windows whose reports are final, by window.
     """
 
     def __init__(self, store: Store, log: EventLog):
@@ -116,17 +118,17 @@
         self._log = log
         self.reports: dict[int, dict[str, int]] = {}
 
-    async def read(self) -> _Held:
-        """Returns the lease as it is, and notes the reports."""
+    async def read(self) -> _StoredLease:
+        """Returns the stored lease and updates the reports."""
         page = await self._store.read(DUTIES_TABLE)
         self._note_reports(page.rows)
-        return self._lease_of(page.rows, page.now_s)
+        return self._stored_lease(page.rows, page.now_s)
 
     async def write(
         self, expect: int, row: LeaseRow, extra: Report | None = None
-    ) -> tuple[bool, _Held]:
-        """Writes the lease, and a report with it if there is one."""
-        at_ms = self._store.latest_now_s() * MS
+    ) -> tuple[bool, _StoredLease]:
+        """Writes the lease and, in the same transaction, the report if any."""
+        at_ms = self._store.latest_store_now_s() * MS
         body = msgspec.json.encode(_LeaseBody(row, at_ms))
         conditions = [Condition(DUTIES_TABLE, LEASE_KEY, expect)]
         rows = [NewRow(DUTIES_TABLE, LEASE_KEY, body)]
@@ -140,10 +142,10 @@
         done = await self._store.commit(conditions, rows, old)
         if not done.done:
             self._note_reports(done.rows)
-            return False, self._lease_of(done.rows, done.now_s)
+            return False, self._stored_lease(done.rows, done.now_s)
         if extra is not None:
             self.reports[extra.window] = extra.counts
-        return True, _Held(done.version, row, 0.0)
+        return True, _StoredLease(done.version, row, 0.0)
 
     def _drop_old(self, newest: int) -> list[tuple[str, str]]:
         old = [x for x in self.reports if x <= newest - REPORTS_KEPT]
@@ -163,86 +165,91 @@
                 continue
             self.reports[window] = counts
 
-    def _lease_of(self, rows: tuple[ServerRow, ...], now_s: float) -> _Held:
+    def _stored_lease(
+        self, rows: tuple[ServerRow, ...], now_s: float
+    ) -> _StoredLease:
         found = next((x for x in rows if x.id == LEASE_KEY), None)
         if found is None or found.data is None:
-            return _Held(0, None, math.inf)
+            return _StoredLease(0, None, math.inf)
         try:
             body = msgspec.json.decode(found.data, type=_LeaseBody)
         except msgspec.MsgspecError as exc:
-            # Its age is unknown: it counts from when it was first seen.
+            # The age is unknown, so it is counted from the first read.
             self._log.trouble("lease_unreadable", why=str(exc))
-            return _Held(found.version, None, 0.0)
+            return _StoredLease(found.version, None, 0.0)
         if body.row.given_up:
-            return _Held(found.version, body.row, math.inf)
+            return _StoredLease(found.version, body.row, math.inf)
         age_s = max(0.0, now_s - body.at_ms / MS)
-        return _Held(found.version, body.row, age_s)
+        return _StoredLease(found.version, body.row, age_s)
 
 
 def _report_key(window: int) -> str:
     return f"{REPORT_PREFIX}{window}"
 
 
-class _Blocked(msgspec.Struct):
+class _BlockedRequest(msgspec.Struct):
     servers: list[str]
-    # By the time of day, which may be seconds off: an end counts for a day.
+    # Unix time. Clock skew of seconds is tolerable, since a crash counts for a
+    # day.
     ended_ms: list[int]
-    # When a whole run, or an operator, cleared the request; -1 for never.
+    # When a completed run or an operator cleared the request; -1 if never.
     cleared_ms: int = -1
 
 
 class CrashTable:
-    """Requests that are not sent any more, a row each.
+    """Blocked requests, one per row, with the server crashes they caused.
 
-    Instances tell each other of them; the rows are for those that start when
-    no other instance is left to tell. A request is blocked at most once in a
-    day, so rows are few.
+    Instances also broadcast them to each other; the rows are for an instance
+    that starts when no other one is running. A request is blocked at most once
+    a day, so there are few rows.
     """
 
     def __init__(self, store: Store, log: EventLog):
         self._store = store
         self._log = log
 
-    async def save(self, word: ServerEnds) -> None:
-        """Writes a request's row; raises StoreError without answer."""
-        await _save(self._store, word)
+    async def save(self, crashes: ServerEnds) -> None:
+        """Writes a request's row; raises StoreError on failure."""
+        await _save(self._store, crashes)
 
     async def read(self) -> list[ServerEnds]:
-        """Returns what stands there; raises StoreError without answer."""
+        """Returns the crashes of all rows; raises StoreError on failure."""
         found = []
         now_ms = round(time.time() * MS)
         for row in (await self._store.read(CRASHES_TABLE)).rows:
             if row.data is None:
                 continue
             try:
-                held = msgspec.json.decode(row.data, type=_Blocked)
-                word = _ends_word(row.id, held, now_ms)
+                held = msgspec.json.decode(row.data, type=_BlockedRequest)
+                crashes = _decode_crashes(row.id, held, now_ms)
             except (msgspec.MsgspecError, ValueError) as exc:
                 self._log.trouble("crash_unreadable", row=row.id, why=str(exc))
                 continue
-            found.append(word)
+            found.append(crashes)
         return found
 
 
 async def release_request(store: Store, fingerprint: str) -> None:
-    """Lets a request be sent again; raises StoreError without answer."""
+    """Unblocks a request; raises StoreError on failure."""
     await _save(store, ServerEnds(fingerprint, [], [], 0))
 
 
-async def _save(store: Store, word: ServerEnds) -> None:
+async def _save(store: Store, crashes: ServerEnds) -> None:
     now_ms = round(time.time() * MS)
-    row = _Blocked(
-        word.servers,
-        [now_ms - age_ms for age_ms in word.ages_ms],
-        -1 if word.survived_ms < 0 else now_ms - word.survived_ms,
+    row = _BlockedRequest(
+        crashes.servers,
+        [now_ms - age_ms for age_ms in crashes.ages_ms],
+        -1 if crashes.survived_ms < 0 else now_ms - crashes.survived_ms,
     )
     body = msgspec.json.encode(row)
-    await store.write(CRASHES_TABLE, word.fingerprint, body)
+    await store.write(CRASHES_TABLE, crashes.fingerprint, body)
 
 
-def _ends_word(name: str, held: _Blocked, now_ms: int) -> ServerEnds:
+def _decode_crashes(
+    name: str, held: _BlockedRequest, now_ms: int
+) -> ServerEnds:
     if len(held.servers) != len(held.ended_ms):
-        raise ValueError("its lists differ in length")
+        raise ValueError("servers and ended_ms differ in length")
     cleared = held.cleared_ms
     return ServerEnds(
         name,
