--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -1,4 +1,4 @@
-"""The composition root of an instance on the platform."""
+"""Composition root of an instance on the platform."""
 
 import dataclasses
 import gc
@@ -69,26 +69,27 @@
 EXIT_USAGE = 2
 
 ENTRY_TTL_S = 2.0
-"""How long callers keep an entry list: within it a dead instance is found."""
+"""Time for which callers cache an entry list; a crashed instance is detected
+within it."""
 
 TICK_S = 0.1
-TIDY_EVERY = 10
-SETTINGS_EVERY_S = 2.0
+CHANNEL_CLEANUP_TICKS = 10
+SETTINGS_POLL_S = 2.0
 REGISTER_PAUSE_S = 0.4
-"""Between writing the own row and reading the others': instances that start
-together then find each other with one read."""
+"""Pause between writing this instance's row and reading the others', so that
+instances that start together find each other with one read."""
 
-RENEW_INSTANCES_S = 60.0
-"""How often the instances' rows are read again, in case the others could
-neither be reached nor reach this one at the start."""
+INSTANCES_POLL_S = 60.0
+"""Interval of reading the instances' rows again, in case no datagram between
+this instance and the others arrived at the start."""
 
-END_PAUSE_S = 0.15
-"""Longest time that a planned stop waits for the store to drop its row."""
+UNREGISTER_TIMEOUT_S = 0.15
+"""Time limit for removing the instance's row at a planned stop."""
 
 CURRENT_S = 1.8
-"""Age up to which the knowledge is good for a final "not found" or "unknown
-key". Whatever the store has accepted must be in force two seconds later; what
-is left is for words on their way."""
+"""Staleness of the tables' data up to which "not found" and "unknown key" are
+returned as final. A change must be in force two seconds after the store
+accepted it; the difference is left for messages in transit."""
 
 GC_YOUNG_OBJECTS = 100_000
 
@@ -97,31 +98,31 @@
     """One instance on the platform.
 
     Attributes:
-        boot: Its settings, as last read.
-        running: Whether it runs; False again after its planned stop.
+        boot: Its settings, as last loaded.
+        running: Whether it is running; False again after a planned stop.
     """
 
     def __init__(self, boot: Boot, path: pathlib.Path):
-        """Wires the parts; nothing runs yet.
+        """Creates the components without starting them.
 
         Args:
-            boot: Checked settings.
-            path: Their file, which is read again when it changes.
+            boot: Validated settings.
+            path: The settings file, which is polled for changes.
         """
         self.boot = boot
         self._path = path
         self._rng = random.Random()
-        self._stop: Stop | None = None
+        self._planned_stop: Stop | None = None
         self._ready = False
         self.running = False
         self.log = EventLog(boot.name)
         self.counters = Counters(Statsd())
         self.telemetry = Telemetry(self.counters)
         self._watchdog = Watchdog()
-        self._wire_knowledge()
-        self._wire_requests()
-        self._wire_duties()
-        self._wire_ports()
+        self._build_state()
+        self._build_request_path()
+        self._build_duties()
+        self._build_ports()
 
     @property
     def callers(self) -> str:
@@ -130,21 +131,21 @@
 
     @property
     def entries(self) -> str:
-        """IP:port where callers ask which address to use."""
+        """IP:port where callers resolve the instances' addresses."""
         return self.boot.entries
 
     @property
     def readiness(self) -> str:
-        """IP:port where the platform asks for readiness."""
+        """IP:port of the readiness probe."""
         return self.boot.readiness
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
-        return self._ready and self._stop is None
+        """Whether this instance accepts callers."""
+        return self._ready and self._planned_stop is None
 
     @property
-    def serving(self) -> bool:
+    def listening(self) -> bool:
         """Whether the callers' port is open."""
         return self._callers_port.started
 
@@ -156,18 +157,18 @@
 
     @property
     def peers_live(self) -> int:
-        """How many instances take callers, this one included."""
+        """Number of instances that accept callers, this one included."""
         return len(self._peers.membership.live())
 
     def meet(self, address: str) -> None:
-        """Tells of an address at which an instance may be."""
+        """Adds an address at which another instance may be reachable."""
         self._peers.meet({address})
 
     async def run(self, *, signals: bool = True) -> None:
-        """Runs the instance until its planned stop is done.
+        """Runs the instance until its planned stop is complete.
 
         Args:
-            signals: Whether SIGTERM and SIGHUP are for this instance.
+            signals: Whether to handle SIGTERM, SIGINT and SIGHUP.
         """
         self.running = True
         self.log.trouble("start", settings=dataclasses.asdict(self.boot))
@@ -175,16 +176,16 @@
             for port in self._ports:
                 group.start_soon(port.serve)
             if signals:
-                group.start_soon(self._signals)
+                group.start_soon(self._handle_signals)
             for part in (
                 self._watchdog.run,
                 self._peers.run,
-                self._room.run,
-                self._asking.run,
-                self._owned.run,
-                self._limits.run,
+                self._placement_queue.run,
+                self._placement_client.run,
+                self._owned_cells.run,
+                self._rate_limits.run,
                 self._tick,
-                self._join,
+                self._discover_peers,
                 self._watch_settings,
                 *([self._duties.run] if self._duties else []),
             ):
@@ -193,50 +194,52 @@
                 self._crashes.run,
                 self._crash_table.save,
                 self._crash_table.read,
-                lambda: self._followers.leads,
+                lambda: self._follower_role.leads,
             )
             group.start_soon(
-                self._configuration.run,
-                self._feed.take_configuration,
-                self._feed.take_configuration,
+                self._configuration_follower.run,
+                self._registry_feed.take_configuration,
+                self._registry_feed.take_configuration,
             )
             group.start_soon(
-                self._servers.run,
-                self._feed.take_all_servers,
-                self._feed.take_servers,
+                self._servers_follower.run,
+                self._registry_feed.take_all_servers,
+                self._registry_feed.take_servers,
             )
-            await self._until_stopped()
+            await self._wait_for_stop()
             group.cancel_scope.cancel()
-        self.log.trouble("stop", under_way=self._under_way())
+        self.log.trouble("stop", under_way=self._requests_in_flight())
         self.running = False
 
-    def _wire_knowledge(self) -> None:
+    def _build_state(self) -> None:
         boot = self.boot
         self.registry = Registry(documents.catalog, documents.server)
         self.client = Client(self._watchdog, keepalive=True)
         store = self._store = Store(self.client, boot.store)
         self._freshness = Freshness((OPERATOR_TABLE, SERVERS_TABLE))
         self._store_state = StoreState(self.registry, self._freshness, self.log)
-        self._feed = RegistryFeed(
+        self._registry_feed = RegistryFeed(
             self.registry, CONFIGURATION_KEY, self.counters, self.log
         )
-        self._instances = InstanceTable(store, boot.ip, self.log)
+        self._instance_table = InstanceTable(store, boot.ip, self.log)
         self._crash_table = CrashTable(store, self.log)
-        self._configuration = self._follower(
-            store, OPERATOR_TABLE, leading=Manner(wait_s=LEAD_WAIT_S)
+        self._configuration_follower = self._new_follower(
+            store, OPERATOR_TABLE, leader_mode=Manner(wait_s=LEAD_WAIT_S)
+        )
+        self._servers_follower = self._new_follower(
+            store, SERVERS_TABLE, leader_mode=Manner()
         )
-        self._servers = self._follower(store, SERVERS_TABLE, leading=Manner())
 
-    def _follower(
-        self, store: Store, table: str, *, leading: Manner
+    def _new_follower(
+        self, store: Store, table: str, *, leader_mode: Manner
     ) -> Follower:
-        near = Manner()
-        far = Manner(gather_s=FAR_GATHER_S)
+        close_mode = Manner()
+        relaxed_mode = Manner(gather_s=FAR_GATHER_S)
 
-        def manner() -> Manner:
-            if self._followers.leads:
-                return leading
-            return near if self._followers.closely() else far
+        def current_mode() -> Manner:
+            if self._follower_role.leads:
+                return leader_mode
+            return close_mode if self._follower_role.closely() else relaxed_mode
 
         return Follower(
             table,
@@ -244,16 +247,16 @@
             self._store_state,
             self.counters,
             self._rng,
-            manner,
+            current_mode,
         )
 
-    def _wire_requests(self) -> None:
+    def _build_request_path(self) -> None:
         boot = self.boot
-        # Each life of a process is a member of its own: a restarted one must
-        # not be taken for the one that fell silent.
-        life = f"{boot.name}/{self._rng.getrandbits(48):012x}"
-        self._limits = LimitWatch(
-            life,
+        # Each process is a separate member, so that a restarted instance is
+        # not mistaken for its unresponsive predecessor.
+        member_id = f"{boot.name}/{self._rng.getrandbits(48):012x}"
+        self._rate_limits = LimitWatch(
+            member_id,
             lambda server: self.registry.server(server) is not None,
             self.counters,
             self.log,
@@ -263,11 +266,11 @@
             self.registry,
             boot.zone,
             lambda: self._peers.count,
-            allowance=self._limits.allowance,
+            allowance=self._rate_limits.allowance,
         )
         self.dispatcher.on_split = self._log_split
         member = Member(
-            life, "", boot.zone, boot.callers, "", boot.peers, LEAVING, 0
+            member_id, "", boot.zone, boot.callers, "", boot.peers, LEAVING, 0
         )
         self._peers = PeerLink(
             member,
@@ -280,55 +283,57 @@
             self._rng,
         )
         self._peers.meet(set(boot.seeds))
-        self._peers.on_snapshot = self._adopt
+        self._peers.on_snapshot = self._merge_snapshot
         self._peers.on_store_lost = self._store_state.check
         self._store_state.on_news = self._peers.tell_news
-        self._room = WaitingRoom(
+        self._placement_queue = WaitingRoom(
             self.dispatcher.place,
             self.dispatcher.expect,
             self.dispatcher.busy_s,
             self.dispatcher.reserve,
         )
-        self._wire_cells(life)
+        self._build_cells(member_id)
         self._crashes = CrashWatch(
-            life, self.registry, self.counters, self.log, self._rng
+            member_id, self.registry, self.counters, self.log, self._rng
         )
         self._crashes.members = self._peers.membership.live
         self._crashes.send = self._peers.tell
         self._peers.on_crashes = self._crashes.hear
-        self._limits.placer = self._asking.placer_of
-        self._limits.send = self._peers.tell
-        self._limits.on_grant = self._look_again
-        self._peers.on_limits = self._limits.hear
+        self._rate_limits.placer = self._placement_client.placer_of
+        self._rate_limits.send = self._peers.tell
+        self._rate_limits.on_grant = self._retry_placement
+        self._peers.on_limits = self._rate_limits.hear
         self._channels = Channels(self._watchdog)
-        self._budget = SharedBudget(
+        self._retry_budget = SharedBudget(
             boot.retry_ratio, boot.retry_allowance, boot.retry_window_s
         )
 
-    def _wire_cells(self, life: str) -> None:
+    def _build_cells(self, member_id: str) -> None:
         boot = self.boot
-        self._owned = OwnedCells(
-            life,
+        self._owned_cells = OwnedCells(
+            member_id,
             boot.zone,
             self.registry,
             self.dispatcher.engines,
             self.dispatcher.lengths,
             self.counters,
-            self._limits.allowance,
+            self._rate_limits.allowance,
         )
-        self._asking = AskingRoom(
-            life,
+        self._placement_client = AskingRoom(
+            member_id,
             boot.peers,
             self.registry,
             self.dispatcher,
-            self._room,
+            self._placement_queue,
             self.counters,
         )
-        self._owned.on_split = self._log_split
-        self._followers = Followers(life, boot.zone)
-        self._peers.wire_cells(self._owned, self._asking, self._followers)
+        self._owned_cells.on_split = self._log_split
+        self._follower_role = Followers(member_id, boot.zone)
+        self._peers.wire_cells(
+            self._owned_cells, self._placement_client, self._follower_role
+        )
 
-    def _wire_duties(self) -> None:
+    def _build_duties(self) -> None:
         self._duties: Duties | None = build_duties(
             self.boot,
             self._peers.membership.own,
@@ -343,22 +348,22 @@
             self._duties.send = self._peers.tell
             self._peers.on_duty = self._duties.hear
 
-    def _wire_ports(self) -> None:
+    def _build_ports(self) -> None:
         boot = self.boot
         dialect = PlatformDialect()
         evacuator = Evacuator(self.client, dialect, self.counters, self.log)
-        self._feed.on_leaving = evacuator.leaving
-        self._feed.on_gone = self._gone
-        self._feed.on_changed = self._peers.tell_standing
+        self._registry_feed.on_leaving = evacuator.leaving
+        self._registry_feed.on_gone = self._on_server_removed
+        self._registry_feed.on_changed = self._peers.tell_standing
         kit = Kit(
             self.dispatcher,
-            self._asking,
+            self._placement_client,
             self._channels,
             dialect,
             evacuator,
-            self._budget,
+            self._retry_budget,
             self._crashes,
-            self._limits,
+            self._rate_limits,
             self.counters,
             self.telemetry,
             self.log,
@@ -370,8 +375,8 @@
             kit,
             lambda: self.registry.catalog if self.registry.complete else None,
             lambda: self.current,
-            lambda: self._stop is not None,
-            self._takes,
+            lambda: self._planned_stop is not None,
+            self._accepts,
             self.log,
         )
         status = StatusApp(
@@ -383,7 +388,7 @@
         options = {
             "server_header": False,
             "date_header": False,
-            "http": headbound.bounded(self._head_bounds),
+            "http": headbound.bounded(self._request_head_bounds),
         }
         self._callers_port = ports.port(Ingress(front), boot.callers, **options)
         self._ports = [
@@ -397,28 +402,28 @@
             address = f"{boot.ip}:{metrics_port}"
             self._ports.append(ports.port(status, address, **options))
 
-    def _head_bounds(self) -> HeadBounds:
+    def _request_head_bounds(self) -> HeadBounds:
         catalog = self.registry.catalog
         bounds = catalog.bounds if catalog else Bounds()
         return HeadBounds(bounds.head_bytes, bounds.head_s, bounds.idle_s)
 
-    def _look_again(self) -> None:
-        """Looks for places for who waits, once a server takes requests."""
-        self._room.look()
-        self._owned.look_soon()
+    def _retry_placement(self) -> None:
+        """Places queued requests once a server accepts requests again."""
+        self._placement_queue.look()
+        self._owned_cells.look_soon()
 
-    def _gone(self, server: str) -> None:
-        self._limits.gone(server)
+    def _on_server_removed(self, server: str) -> None:
+        self._rate_limits.gone(server)
         self.dispatcher.gone(server)
-        self._owned.gone(server)
+        self._owned_cells.gone(server)
 
-    def _adopt(self, snapshot: Snapshot, peer: str) -> None:
+    def _merge_snapshot(self, snapshot: Snapshot, peer: str) -> None:
         try:
-            news = self.registry.adopt(snapshot)
+            changes = self.registry.adopt(snapshot)
         except ValueError as exc:
             self.log.trouble("snapshot_unreadable", peer=peer, why=str(exc))
             return
-        self._feed.report(news, peer)
+        self._registry_feed.report(changes, peer)
         self._peers.tell_standing()
         self.log.trouble(
             "snapshot",
@@ -454,10 +459,11 @@
 
     @property
     def current(self) -> bool:
-        """Whether the configuration is known to be the newest in force.
+        """Whether the configuration is confirmed to be the newest in force.
 
-        The version that another instance has is no proof by itself: both may
-        wait for a silent store. Its age is, whoever the store has told.
+        An equal version at another instance does not confirm it, since both
+        may be waiting for an unresponsive store. The time since the store last
+        confirmed the version does, whichever instance it answered.
         """
         if self._freshness.age_s(now_s()) > CURRENT_S:
             return False
@@ -465,46 +471,46 @@
             return False
         return not self._peers.standings.knows_newer(time.monotonic())
 
-    def _takes(self, limit_s: float) -> bool:
-        if self._stop is None:
+    def _accepts(self, time_limit_s: float) -> bool:
+        if self._planned_stop is None:
             return True
-        return self._stop.takes(limit_s, time.monotonic())
+        return self._planned_stop.takes(time_limit_s, time.monotonic())
 
     def _entries(self, zone: str) -> list[Member]:
         membership = self._peers.membership
         members = membership.live()
-        if not self._ready or self._stop is not None:
+        if not self._ready or self._planned_stop is not None:
             members = [item for item in members if item is not membership.own]
         isolated = self._peers.standings.isolated(time.monotonic())
         if self._store_state.lost and isolated:
-            # Neither the store nor any other instance answers: it is more
-            # likely this one that is cut off than all others that are dead,
-            # and a list of this one alone would bring it every caller.
+            # Neither the store nor any other instance responds. More likely
+            # this instance is partitioned than all others have crashed, and a
+            # list of this instance alone would direct every caller to it.
             members = membership.view
         return entrylist.in_order(members, zone, self._rng)
 
-    def _under_way(self) -> int:
+    def _requests_in_flight(self) -> int:
         return len(self._callers_port.server_state.tasks)
 
     async def _tick(self) -> None:
-        rounds = 0
+        ticks = 0
         while True:
             await anyio.sleep(TICK_S)
             now = time.monotonic()
             self._freshness.tick(now_s())
-            self._feed.expire(now)
+            self._registry_feed.expire(now)
             self.dispatcher.tick(now)
-            self._owned.tick(now)
-            self._see_instances()
+            self._owned_cells.tick(now)
+            self._update_instances()
             self._store_state.renew_after(
-                self._followers.patience_s(lags=self._freshness.lags)
+                self._follower_role.patience_s(lags=self._freshness.lags)
             )
-            self._budget.saw_instances(self._peers.known, now)
-            rounds += 1
-            if rounds % TIDY_EVERY == 0:
+            self._retry_budget.saw_instances(self._peers.known, now)
+            ticks += 1
+            if ticks % CHANNEL_CLEANUP_TICKS == 0:
                 await self._channels.tidy()
             if (
-                self._stop is None
+                self._planned_stop is None
                 and not self._ready
                 and self.registry.complete
             ):
@@ -512,35 +518,37 @@
                 self.log.trouble("ready", **self._versions())
                 self._peers.enter()
 
-    def _see_instances(self) -> None:
+    def _update_instances(self) -> None:
         live = self._peers.membership.live()
-        self._asking.saw_instances(self._peers.known, live)
-        self._followers.saw_instances(
+        self._placement_client.saw_instances(self._peers.known, live)
+        self._follower_role.saw_instances(
             live,
-            shared=self._asking.active,
+            shared=self._placement_client.active,
             without_store=self._peers.without_store(),
         )
         if self._duties is not None:
             self._duties.saw_instances(live)
-        self._limits.saw_instances(live, self._peers.known, time.monotonic())
-        self.dispatcher.sees_steps = not self._asking.active
+        self._rate_limits.saw_instances(
+            live, self._peers.known, time.monotonic()
+        )
+        self.dispatcher.sees_steps = not self._placement_client.active
 
-    async def _join(self) -> None:
+    async def _discover_peers(self) -> None:
         registered = False
         while True:
             try:
                 if not registered:
-                    await self._instances.register(self.boot.peers)
+                    await self._instance_table.register(self.boot.peers)
                     registered = True
                     await anyio.sleep(REGISTER_PAUSE_S)
-                self._peers.meet(await self._instances.addresses())
+                self._peers.meet(await self._instance_table.addresses())
                 self._store_state.worked("instances")
-                await anyio.sleep(RENEW_INSTANCES_S)
+                await anyio.sleep(INSTANCES_POLL_S)
             except StoreError as exc:
                 self._store_state.failed("instances", exc.message)
                 await anyio.sleep(self._rng.uniform(0.5, 1.5))
 
-    async def _signals(self) -> None:
+    async def _handle_signals(self) -> None:
         try:
             with anyio.open_signal_receiver(
                 signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -548,35 +556,37 @@
                 async for number in signals:
                     if number == signal.SIGHUP:
                         self._reload("signal")
-                    elif self._stop is None:
+                    elif self._planned_stop is None:
                         self.stop()
         finally:
             stopsignals.ignore_late()
 
     def stop(self) -> None:
-        """Begins the planned stop."""
-        self._stop = Stop(time.monotonic(), self.boot.grace_s)
-        self.log.trouble("stopping", under_way=self._under_way())
+        """Starts the planned stop."""
+        self._planned_stop = Stop(time.monotonic(), self.boot.grace_s)
+        self.log.trouble("stopping", under_way=self._requests_in_flight())
         self._peers.leave()
         if self._duties is not None:
             self._duties.stop()
 
-    async def _until_stopped(self) -> None:
+    async def _wait_for_stop(self) -> None:
         while True:
             await anyio.sleep(TICK_S)
-            if self._stop is None:
+            if self._planned_stop is None:
                 continue
-            if self._stop.over(self._under_way(), time.monotonic()):
+            if self._planned_stop.over(
+                self._requests_in_flight(), time.monotonic()
+            ):
                 break
-        with anyio.move_on_after(END_PAUSE_S):
+        with anyio.move_on_after(UNREGISTER_TIMEOUT_S):
             try:
-                await self._instances.unregister()
+                await self._instance_table.unregister()
             except StoreError as exc:
                 self.log.trouble("unregister_failed", why=exc.message)
 
     async def _watch_settings(self) -> None:
         while True:
-            await anyio.sleep(SETTINGS_EVERY_S)
+            await anyio.sleep(SETTINGS_POLL_S)
             self._reload("file")
 
     def _reload(self, source: str) -> None:
@@ -605,10 +615,11 @@
         return EXIT_USAGE
     instance = Instance(loaded.unwrap(), path)
     logging.basicConfig(level=logging.WARNING, handlers=[Bridge(instance.log)])
-    # The server's own lines on answers that are left unfinished on purpose;
-    # the request's line tells of them.
+    # Uvicorn logs every response that is left incomplete on purpose; the event
+    # log's line of the request covers these.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
-    # Requests leave no cycles worth a search after every few hundred objects.
+    # Requests leave hardly any reference cycles, so a collection after every
+    # few hundred new objects would be wasted.
     gc.set_threshold(GC_YOUNG_OBJECTS)
     anyio.run(instance.run)
     return 0
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -1,4 +1,4 @@
-"""What the tests on the platform's interface share."""
+"""Common base of the tests on the platform's interface."""
 
 import contextlib
 import dataclasses
@@ -20,13 +20,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """A whole answer as a caller sees it.
+    """A response as a caller sees it.
 
     Attributes:
         status: HTTP status.
         headers: Header fields, names in lower case.
         body: Body.
-        whole: Whether it came to its proper end.
+        whole: Whether the body ended properly.
     """
 
     status: int
@@ -36,18 +36,18 @@
 
 
 class PlatformCase(unittest.IsolatedAsyncioTestCase):
-    """Base of tests with a small site and instances in one event loop."""
+    """Base of tests that run a small site and instances in one event loop."""
 
     options = SiteOptions()
 
     def setUp(self) -> None:
-        # The stand-ins end in the middle of answers, which the server would
-        # report at length.
+        # The stand-ins abort responses on purpose, which Uvicorn would log at
+        # length.
         logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL + 1)
 
     @contextlib.asynccontextmanager
     async def site(self, count: int = 1):
-        """Runs a site; gives it and its instances once they are ready."""
+        """Runs a site and yields it with its instances once they are ready."""
         with tempfile.TemporaryDirectory(prefix="jasminerelay-") as folder:
             site = PlatformSite(self.options, pathlib.Path(folder))
             async with site.running(), anyio.create_task_group() as group:
@@ -62,7 +62,7 @@
                 group.cancel_scope.cancel()
 
     async def start(self, group, site: PlatformSite, name: str) -> Instance:
-        """Starts an instance."""
+        """Starts an instance whose event log is discarded."""
         path = site.settings(name)
         instance = Instance(bootfile.load(path).unwrap(), path)
         instance.log.info = instance.log.trouble = lambda *a, **k: None
@@ -70,7 +70,7 @@
         return instance
 
     async def until(self, condition) -> None:
-        """Waits for a condition."""
+        """Waits until a condition holds; fails after WAIT_S."""
         with anyio.fail_after(WAIT_S):
             while not condition():
                 await anyio.sleep(POLL_S)
@@ -86,7 +86,7 @@
         host: str = HOST,
         **headers: str,
     ) -> Answer:
-        """Sends a request and reads the whole answer."""
+        """Sends a request to an instance and reads the whole response."""
         fields = {
             "Host": host,
             "Attempt-Id": attempt,
@@ -102,7 +102,7 @@
 async def fetch(
     url: str, method: str = "GET", fields: dict | None = None, body: bytes = b""
 ) -> Answer:
-    """Sends a request on a connection of its own."""
+    """Sends a request on a new connection and reads the whole response."""
     async with (
         httpcore.AsyncConnectionPool() as pool,
         pool.stream(
@@ -124,7 +124,7 @@
 
 
 def events(last: int, first: int = 1) -> bytes:
-    """Returns the events of a stand-in's stream."""
+    """Returns the encoded events of a stand-in's stream."""
     return b"".join(
         b"id: %d\ndata: t%d\n\n" % (number, number)
         for number in range(first, last + 1)
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -392,7 +392,7 @@
         "platform/ingress",
         "if not self._context.is_current():",
         "if False:",
-        "test_platforminstances.StoreOutageTest.test_unknown_route_without_touch",
+        "test_platforminstances.StoreOutageTest.test_unknown_route_without_store",
     ),
     Safeguard(
         "an instance that is behind asks another",
@@ -546,7 +546,7 @@
         "        if self._freshness.age_s(now_s()) > CURRENT_S:\n",
         "        if False:\n",
         "test_platforminstances.StoreOutageTest"
-        ".test_unknown_route_among_instances_without_touch",
+        ".test_unknown_route_at_two_instances_without_store",
     ),
     Safeguard(
         "an unreadable configuration lets nothing be refused for good",
@@ -626,14 +626,14 @@
         "peerlink",
         "soon = now - began < GREET_SOON_FOR_S",
         "soon = False",
-        "test_platforminstances.MeetingTest.test_started_together",
+        "test_platforminstances.DiscoveryTest.test_started_together",
     ),
     Safeguard(
-        "callers do not name the source of a start",
+        "callers do not choose the source of a cached prefix",
         "platform/headers",
-        "        _FETCH_FROM,\n        DEADLINE,",
+        "        _FETCH_PREFIX_FROM,\n        DEADLINE,",
         "        DEADLINE,",
-        "test_adapter.HeadersTest.test_source_of_the_start",
+        "test_adapter.HeadersTest.test_source_of_the_cached_prefix",
     ),
     Safeguard(
         "overflow follows a common order",
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -358,7 +358,7 @@
 class EventLogTest(unittest.TestCase):
     """The structured event log."""
 
-    def test_log_collector_that_stops_reading(self) -> None:
+    def test_reader_that_does_not_read(self) -> None:
         # Guards against an instance that blocks because the process that
         # collects its log stops reading. Lines are dropped and counted.
         reader, writer = os.pipe()
@@ -372,7 +372,7 @@
         while os.read(reader, 1 << 16).endswith(b"x"):
             pass
 
-    def test_trouble_is_kept_in_a_flood(self) -> None:
+    def test_bounded_and_trouble_kept(self) -> None:
         # Guards against a flood of info lines that displaces trouble lines.
         # The next line states how many were dropped.
         reader, writer = os.pipe()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's interface, against its stand-ins."""
+"""Tests the whole request path on the platform against stand-in servers."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 class RequestsTest(PlatformCase):
-    """Requests of every kind from end to end."""
+    """End-to-end requests of every kind."""
 
     async def test_plain_request(self) -> None:
         async with self.site() as (site, (instance,)):
@@ -38,7 +38,7 @@
             self.assertEqual((answer.status, answer.whole), (200, True))
             (server,) = [s for s in site.servers.values() if s.journal]
             (ran,) = server.journal
-            # The signature is the server's; the bytes are passed unchanged.
+            # The server's signature and the bytes are forwarded unchanged.
             self.assertEqual(
                 answer.headers["server-signature"], f"{server.name}.a1"
             )
@@ -88,7 +88,7 @@
             )
             ready = await fetch(f"http://{first.readiness}/-/readyz")
             self.assertEqual(ready.status, 200)
-            # A row for each, under its own address.
+            # Each instance has a row under its own address.
             self.assertEqual(len(site.store.keys("jasminerelay_instances")), 2)
 
     async def test_new_configuration_in_force(self) -> None:
@@ -101,9 +101,9 @@
 
 
 class FailuresTest(PlatformCase):
-    """Servers that fail in the ways that the platform's pages name."""
+    """Server failures that the platform specifies."""
 
-    def arm(self, site, service: str, **faults) -> None:
+    def set_faults(self, site, service: str, **faults) -> None:
         prefix = "engine" if service == MODEL else "plain"
         for name, server in site.servers.items():
             if name.startswith(prefix):
@@ -114,8 +114,8 @@
         return sum(len(server.journal) for server in site.servers.values())
 
     async def test_rejected_goes_elsewhere(self) -> None:
-        # A server rejects a request that may run once. It has not run, so
-        # another server gets it and the caller sees one good answer.
+        # Both servers reject a request that must run at most once. Neither ran
+        # it, so the caller gets 503 and may retry.
         async with self.site() as (site, (instance,)):
             site.servers["plain-1"].faults.refuse = 1
             site.servers["plain-2"].faults.refuse = 1
@@ -125,10 +125,10 @@
             self.assertEqual(self.runs(site), 0)
 
     async def test_server_started_again_under_another_name(self) -> None:
-        # A crashed server is back at its address as another one, and its old
-        # row stands for some seconds. It sends all requests for the old one
-        # away at once, so it always looks idle. One such answer must be
-        # enough; the others go where they are served.
+        # A crashed server restarts at its address under another name, and its
+        # old row remains for some seconds. It rejects all requests for the old
+        # name at once, so it always looks idle. After one such response,
+        # requests must go to other servers.
         self.enterContext(
             unittest.mock.patch.object(stragglers, "FAILURE_BACKOFF_S", 60.0)
         )
@@ -136,25 +136,25 @@
             await self.ask(instance, "/confirm/first")
             (server,) = [x for x in site.servers.values() if x.journal]
             server.name = "plain-9"
-            sent_away = []
+            rejections = []
             reject = server._reject
 
-            async def counted(send, status, attempt) -> None:
-                sent_away.append(status)
+            async def count_rejection(send, status, attempt) -> None:
+                rejections.append(status)
                 await reject(send, status, attempt)
 
-            server._reject = counted
+            server._reject = count_rejection
             for number in range(12):
                 answer = await self.ask(instance, f"/confirm/{number}")
                 self.assertEqual(answer.status, 200)
-            self.assertEqual(sent_away, [421])
+            self.assertEqual(rejections, [421])
 
     async def test_once_is_not_repeated(self) -> None:
-        # The server takes a request that may run once and closes without an
-        # answer. It may have run, so the caller is told 502 and no other
-        # server gets it.
+        # The server receives a request that must run at most once and closes
+        # the connection without a response. It may have run the request, so
+        # the caller gets 502 and no other server gets the request.
         async with self.site() as (site, (instance,)):
-            self.arm(site, PLAIN, mute=1)
+            self.set_faults(site, PLAIN, mute=1)
             async with anyio.create_task_group() as group:
                 answers = []
 
@@ -170,7 +170,7 @@
 
     async def test_idempotent_goes_to_second_server(self) -> None:
         async with self.site() as (site, (instance,)):
-            self.arm(site, PLAIN, fail=1)
+            self.set_faults(site, PLAIN, fail=1)
             site.servers["plain-2"].faults.fail = 0
             answers = [
                 await self.ask(instance, "/lookup/x", "GET", f"a{number}")
@@ -180,8 +180,8 @@
             self.assertEqual(self.runs(site), 9)
 
     async def test_stream_goes_on_at_second_server(self) -> None:
-        # A server stops inside an event of a stream that may be resumed. The
-        # caller sees every event once and the first server's signature.
+        # A server fails within an event of a resumable stream. The caller must
+        # receive every event once, with the first server's signature.
         async with self.site() as (site, (instance,)):
             site.servers["engine-1"].faults.break_after = 7
             site.servers["engine-1"].faults.torn = True
@@ -197,27 +197,28 @@
                 self.assertTrue(answer.whole)
 
     async def test_broken_stream_never_looks_complete(self) -> None:
-        # The same with a stream that may not be repeated: what came is passed
-        # on, and its end is not a proper one.
+        # A server fails within an event of a stream that must run at most
+        # once. The events received are forwarded, and the response must not
+        # end as if it were complete.
         async with self.site() as (site, (instance,)):
-            self.arm(site, MODEL, break_after=7, torn=True)
+            self.set_faults(site, MODEL, break_after=7, torn=True)
             answer = await self.ask(instance, "/sheet/1/stream", **PROMPT)
             self.assertFalse(answer.whole)
             self.assertEqual(answer.body, events(7))
             self.assertEqual(self.runs(site), 1)
 
     async def test_torn_event_is_no_end(self) -> None:
-        # A server ends its answer in order, but inside an event. That is not
-        # an answer's end, and the caller must not take it for one.
+        # A server ends its response properly at the HTTP level, but within an
+        # event. The caller must not see a complete response.
         async with self.site() as (site, (instance,)):
-            self.arm(site, MODEL, tear_after=7)
+            self.set_faults(site, MODEL, tear_after=7)
             answer = await self.ask(instance, "/sheet/1/stream", **PROMPT)
             self.assertFalse(answer.whole)
             self.assertEqual(answer.body, events(7))
 
     async def test_crossed_answer_is_dropped(self) -> None:
-        # A server answers with the id of another request. The caller must not
-        # get it; a request that may be repeated goes to the other server.
+        # A server's response carries the id of another request. The caller
+        # must not get it; an idempotent request goes to the other server.
         async with self.site() as (site, (instance,)):
             site.servers["plain-1"].faults.cross = 1
             site.servers["plain-2"].faults.cross = 0
@@ -228,15 +229,15 @@
                 self.assertEqual(answer.body, b"answer to a%d" % number)
 
     async def test_stale_answer_without_id(self) -> None:
-        # A faulty server sends a second answer to an old request, just where
-        # the answer to the next one on that connection is expected, and it
-        # names no request. Played in a hunt (Teixeira scale-2, seed
-        # 412546946666): the caller got another request's answer as its own.
+        # A faulty server sends a second response to an old request, without an
+        # id, where the response to the next request on that connection is
+        # expected. The caller got another request's response (found on
+        # Teixeira scale-2, seed 412546946666).
         async with self.site() as (site, (instance,)):
             for name in ("plain-1", "plain-2"):
                 site.kill_server(name)
                 site.store.drop("servers", name)
-            async with raw_server(stale_second_answer) as address:
+            async with run_raw_server(stale_second_answer) as address:
                 site.addresses["raw"] = address
                 site.register("raw", PLAIN)
                 await self.until(
@@ -251,8 +252,8 @@
                     await anyio.sleep(0.05)
 
     async def test_caller_leaves(self) -> None:
-        # A caller closes its connection in the middle of a stream; the server
-        # must stop within half a second.
+        # A caller closes its connection in the middle of a stream. The server
+        # must stop generating within half a second.
         async with self.site() as (site, (instance,)):
             host, _, port = instance.callers.rpartition(":")
             head = (
@@ -269,8 +270,8 @@
             self.assertFalse(ran.ended)
 
     async def test_dead_server_costs_no_request(self) -> None:
-        # A server dies and its row is still there. Its port refuses
-        # connections, so nothing has run and another server serves.
+        # A server has crashed and its row still exists. Its port refuses
+        # connections, so no request ran there and another server serves it.
         async with self.site() as (site, (instance,)):
             site.kill_server("plain-1")
             for number in range(4):
@@ -279,8 +280,8 @@
                 )
                 self.assertEqual(answer.status, 200)
 
-    async def ask_long(self, instance, answers: list) -> None:
-        """Asks for a stream of 250 events that may run once."""
+    async def ask_long_stream(self, instance, answers: list) -> None:
+        """Requests a stream of 250 events that must run at most once."""
         answers.append(
             await self.ask(
                 instance,
@@ -291,25 +292,29 @@
             )
         )
 
-    async def move_away(self, site, instance, before_leaving) -> tuple:
-        """Lets a server leave in mid-stream; gives its name and the answer."""
+    async def drain_during_stream(
+        self, site, instance, before_draining
+    ) -> tuple:
+        """Drains a stream's server; returns its name and the response."""
         answers = []
         async with anyio.create_task_group() as group:
-            group.start_soon(self.ask_long, instance, answers)
+            group.start_soon(self.ask_long_stream, instance, answers)
             await self.until(lambda: self.runs(site) == 1)
             (name,) = [n for n, s in site.servers.items() if s.journal]
             await anyio.sleep(0.2)
-            before_leaving()
+            before_draining()
             site.register(name, MODEL, "draining")
         return name, answers[0]
 
     async def test_stream_is_moved_from_leaving_server(self) -> None:
-        # A server says that it leaves, in the middle of a stream that may run
-        # once and would go on for longer than the server. Its run is stopped,
-        # the other server goes on from its memory, and the caller sees every
-        # event once.
+        # A server starts to drain in the middle of a stream that must run at
+        # most once and would outlast the server. The request must be stopped
+        # there and resumed from its KV cache at the other server, and the
+        # caller must receive every event once.
         async with self.site() as (site, (instance,)):
-            name, answer = await self.move_away(site, instance, lambda: None)
+            name, answer = await self.drain_during_stream(
+                site, instance, lambda: None
+            )
             self.assertEqual(answer.body, events(250))
             self.assertTrue(answer.whole)
             self.assertEqual(site.servers[name].moves, 1)
@@ -322,16 +327,16 @@
             self.assertEqual(came_from, f"{site.addresses[name]}/h1")
 
     async def test_answer_that_cannot_end_goes_on_elsewhere(self) -> None:
-        # An engine reads prompts without a break and makes a token in a tenth
-        # of a second; at that pace the answer would end at its time limit
-        # with two thirds of it made in vain. The other engine is quick. The
-        # run is stopped in time and goes on there.
+        # An engine prefills without a break and takes 0.1 s per token. At that
+        # speed the response would hit its time limit with two thirds of it
+        # generated in vain. The other engine is fast, so the request must be
+        # moved there in time.
         async with self.site() as (site, (instance,)):
             for server in site.servers.values():
                 server.faults.tick_s = 0.1
             answers = []
             async with anyio.create_task_group() as group:
-                group.start_soon(self.ask_long, instance, answers)
+                group.start_soon(self.ask_long_stream, instance, answers)
                 await self.until(lambda: self.runs(site) == 1)
                 for server in site.servers.values():
                     if not server.journal:
@@ -342,9 +347,10 @@
             self.assertEqual(moves, 1)
 
     async def test_refused_move_is_no_second_run(self) -> None:
-        # The same, but the other server rejects the moved run. The request
-        # has run once; sending it without the memory would run it again, so
-        # the caller gets an answer without an end.
+        # A server drains during a stream that must run at most once, and the
+        # other server rejects the moved request. Sending it without the KV
+        # cache would run it a second time, so the caller must get a truncated
+        # response.
         async with self.site() as (site, (instance,)):
             await site.add_server("engine-3", MODEL)
             await self.until(
@@ -352,13 +358,13 @@
             )
 
             def refuse() -> None:
-                # Whichever is chosen rejects it; the one after that would not.
+                # The first server chosen rejects it; a second one would not.
                 once = ServerFaults(refuse=1)
                 for server in site.servers.values():
                     if not server.journal:
                         server.faults = once
 
-            _, answer = await self.move_away(site, instance, refuse)
+            _, answer = await self.drain_during_stream(site, instance, refuse)
             self.assertFalse(answer.whole)
             self.assertEqual(self.runs(site), 1)
 
@@ -374,8 +380,8 @@
 
 
 @contextlib.asynccontextmanager
-async def raw_server(serve):
-    """Runs a server that writes bytes as told; gives its address."""
+async def run_raw_server(serve):
+    """Runs a TCP server with a connection handler and yields its address."""
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with server:
         host, port = server.sockets[0].getsockname()
@@ -383,7 +389,7 @@
 
 
 async def stale_second_answer(reader, writer) -> None:
-    """Answers the second request on a connection with a stale answer first."""
+    """Sends a stale response before each response except the first one."""
     served = 0
     while True:
         try:
--- a/tests/test_platforminstances.py
+++ b/tests/test_platforminstances.py
@@ -1,4 +1,4 @@
-"""Instances on the platform: outages, meeting, slow callers, stops."""
+"""Tests instances on the platform: outages, discovery, slow callers, stops."""
 
 import contextlib
 import unittest
@@ -20,19 +20,19 @@
 
 
 class StoreOutageTest(PlatformCase):
-    """Instances that the store does not serve."""
+    """Instances that cannot reach the store."""
 
-    async def cut_off_one(self, site, first, second) -> None:
-        """Cuts the first of two instances off from the store alone."""
+    async def disconnect_one(self, site, first, second) -> None:
+        """Disconnects only the first of two instances from the store."""
         await self.until(lambda: first.peers_live == 2)
         await self.until(lambda: second.peers_live == 2)
-        self.cut_from_store(first)
-        # The calls that wait already still bring one change each.
+        self.disconnect_from_store(first)
+        # Long polls already open still deliver one change each.
         site.configure()
         site.register("plain-2", PLAIN)
         await self.until(lambda: first.version == site.version)
 
-    def cut_from_store(self, instance) -> None:
+    def disconnect_from_store(self, instance) -> None:
         async def refuse(exchange) -> None:
             if "/-/" in exchange.url:
                 raise NotSentError("cut off")
@@ -42,27 +42,26 @@
         instance.client.call = refuse
 
     async def test_learns_from_another_instance(self) -> None:
-        # The store turns one instance away. A key is taken and a server
-        # leaves; the instance learns both from the other one within seconds.
+        # One instance cannot reach the store while an API key is replaced and
+        # a server starts to drain. It must learn both changes from the other
+        # instance within seconds.
         async with self.site(2) as (site, (first, second)):
-            await self.cut_off_one(site, first, second)
+            await self.disconnect_one(site, first, second)
             site.configure(tenants=[{"name": "elm", "apiKeys": ["new"]}])
             site.register("plain-1", PLAIN, "draining")
             await self.until(lambda: first.version == site.version)
             await self.until(lambda: len(first.registry.servers_of(PLAIN)) == 1)
 
     async def test_removed_server_while_cut_off(self) -> None:
-        # Callers' requests reach a server twelve seconds after it left. One
-        # instance is cut off from the store, all others and the servers are
-        # not. A server's row is removed without a word of draining; the cut
-        # off instance hears of it from another one within half a second.
-        # Having lost the store itself, it takes the removal for the lapse of
-        # a living server in an outage, and goes on sending there until two
-        # seconds after the store serves it again. Lines of the instances
-        # proved it: the others wrote "gone" at once, this one "kept without
-        # a row".
+        # Guards against requests that reach a server twelve seconds after it
+        # left. One instance is disconnected from the store, the others and the
+        # servers are not. A server's row is removed without draining first, and
+        # the disconnected instance learns it from another one within half a
+        # second. Without the store it took the removal for the expiry of a live
+        # server's row in an outage, and used the server until two seconds
+        # after the store was back; the other instances dropped it at once.
         async with self.site(2) as (site, (first, second)):
-            await self.cut_off_one(site, first, second)
+            await self.disconnect_one(site, first, second)
             site.store.drop("servers", "plain-1")
             await self.until(
                 lambda: len(second.registry.servers_of(PLAIN)) == 1
@@ -73,10 +72,10 @@
                 await self.ask(first, "/confirm/x", attempt=attempt)
             self.assertEqual(site.servers["plain-1"].journal, [])
 
-    async def test_unknown_route_without_touch(self) -> None:
-        # An instance has lost the store and knows no other. A route that it
-        # does not know may have been added since: "not found" would be final
-        # for the caller, so it says "not yet".
+    async def test_unknown_route_without_store(self) -> None:
+        # The only instance cannot reach the store. An unknown route may have
+        # been added meanwhile. "Not found" would be final for the caller, so
+        # the instance must return "not ready".
         async with self.site() as (site, (instance,)):
             site.store.faults.down = True
             await self.until(lambda: not instance.current)
@@ -85,20 +84,20 @@
             wrong = await self.ask(instance, "/confirm/x", key="new")
             self.assertEqual(wrong.status, 503)
 
-    async def test_unknown_route_among_instances_without_touch(self) -> None:
-        # The same with two instances that have both lost the store. Each says
-        # the version that the other has; neither can know that it is the
-        # newest, and a caller of a route just added was told "not found".
+    async def test_unknown_route_at_two_instances_without_store(self) -> None:
+        # Neither of two instances can reach the store. Both report the same
+        # version, which does not confirm that it is the newest: a caller of a
+        # route just added got "not found".
         async with self.site(2) as (site, (first, second)):
             await self.until(lambda: first.peers_live == 2)
             site.store.faults.down = True
-            # The calls that wait already still bring one change each.
+            # Long polls already open still deliver one change each.
             site.configure()
             for instance in (first, second):
                 await self.until(
                     lambda i=instance: i.registry.standing.touch == Touch.LOST
                 )
-            # So long the store's own last word counts.
+            # Until then the store's last response counts as current.
             await anyio.sleep(root.CURRENT_S)
             answer = await self.ask(first, "/new/x")
             self.assertEqual(answer.status, 503)
@@ -110,14 +109,14 @@
             self.assertEqual(answer.status, 200)
 
     async def test_start_without_store(self) -> None:
-        # An instance that starts while the store is away knows nothing: it
-        # says "not yet", not "no such route", and takes what it needs from
-        # another instance.
+        # An instance that starts while the store is down has no
+        # configuration. It must return "not ready" rather than "not found", and
+        # fetch the configuration and servers from another instance.
         async with self.site() as (site, (first,)):
             site.store.faults.down = True
             async with anyio.create_task_group() as group:
                 second = await self.start(group, site, "edge-2")
-                await self.until(lambda: second.serving)
+                await self.until(lambda: second.listening)
                 answer = await self.ask(second, "/confirm/x")
                 self.assertEqual(answer.status, 503)
                 self.assertIn("retry-after", answer.headers)
@@ -129,17 +128,18 @@
 
 
 class UnnoticedOutageTest(PlatformCase):
-    """An outage of the store that an instance's waiting calls do not show."""
+    """A store outage that an instance's open long polls do not reveal."""
 
     options = SiteOptions(links=True)
 
     async def test_another_instance_has_lost_the_store(self) -> None:
-        # Callers are refused, since the pool is empty though its servers
-        # live. The store refuses new calls and lets the waiting ones wait, so
-        # only one instance notices. Rows of living servers lapse; the other
-        # instance hears of that by its waiting call as if nothing else were
-        # wrong, takes them for gone, and tells the first one so. Told that
-        # the store is lost to another one, it must ask at once itself.
+        # Guards against refused callers because a service seems to have no
+        # servers although they are alive. The store refuses new calls and
+        # keeps long polls open, so only one instance notices the outage. Rows
+        # of live servers expire; the other instance sees that in its long poll,
+        # takes the servers for removed and notifies the first one. When an
+        # instance learns that another one lost the store, it must poll the
+        # store itself at once.
         async with self.site(2) as (site, (first, second)):
             await self.until(lambda: first.peers_live == 2)
             await self.until(lambda: second.peers_live == 2)
@@ -162,13 +162,14 @@
                 self.assertEqual(answer.status, 200)
 
 
-class MeetingTest(PlatformCase):
-    """Instances that know no address of each other."""
+class DiscoveryTest(PlatformCase):
+    """Instances that start without addresses of each other."""
 
     async def test_started_apart(self) -> None:
-        # One instance has long read the others' rows when a second one
-        # starts, as after a loss. Callers of either must be told of both
-        # within seconds, not when the rows are next read.
+        # A second instance starts long after the first one has read the
+        # instances' rows, as when a crashed instance is replaced. Callers of
+        # either must get both addresses within seconds, not only after the
+        # rows are next read.
         async with (
             self.site() as (site, (first,)),
             anyio.create_task_group() as group,
@@ -180,10 +181,10 @@
             group.cancel_scope.cancel()
 
     async def test_started_together(self) -> None:
-        # All instances are killed and start again at once. The first words
-        # that each sends come before the others listen, and are lost. Until
-        # the next ones each takes itself for the only instance, names only
-        # itself to callers and fills the engines as if it were alone.
+        # All instances are killed and restart at once. The first datagrams of
+        # each arrive before the others listen, and are lost. Until the next
+        # ones each instance considers itself the only one: it lists only
+        # itself to callers and fills the engines as if no other used them.
         with unittest.mock.patch.object(peerlink, "GREET_EVERY_S", 1e9):
             async with (
                 self.site() as (site, (first,)),
@@ -197,7 +198,7 @@
 
 
 class SlowCallerTest(PlatformCase):
-    """Callers that hold connections without use."""
+    """Callers that hold idle connections."""
 
     LIMITS = {
         "maxHeaderBytes": 2000,
@@ -206,8 +207,8 @@
         "idleTimeoutMs": 300,
     }
 
-    async def talk(self, instance, sent: bytes) -> bytes:
-        """Sends bytes and reads until the instance hangs up."""
+    async def send_and_read(self, instance, sent: bytes) -> bytes:
+        """Sends bytes and reads until the instance closes the connection."""
         host, _, port = instance.callers.rpartition(":")
         stream = await anyio.connect_tcp(host, int(port))
         read = b""
@@ -221,10 +222,10 @@
         return read
 
     async def test_times_of_the_configuration(self) -> None:
-        # Callers open connections and send nothing, half a head, or half a
-        # body, or rest after a request. Each would hold a descriptor for
-        # good; the operator's limits end them, and those that have not been
-        # read are told truthfully that they did not run.
+        # Callers open connections and send nothing, half a head or half a
+        # body, or stay idle after a request. Each would hold a file descriptor
+        # for good. The configured time limits must close the connections, and
+        # requests that were not fully read must be reported as not run.
         async with self.site() as (site, (instance,)):
             site.configure(limits=self.LIMITS)
             await self.until(lambda: instance.version == site.version)
@@ -239,28 +240,28 @@
                 (whole + b"0\r\n\r\n", b"HTTP/1.1 200"),
             ):
                 with self.subTest(sent=sent[-20:]):
-                    read = await self.talk(instance, sent)
+                    read = await self.send_and_read(instance, sent)
                     self.assertEqual(read[:12], status)
             ran = [r for s in site.servers.values() for r in s.journal]
             self.assertEqual(len(ran), 1)
 
 
-class StopToTheEndTest(PlatformCase):
-    """A planned stop until the process is done."""
+class CompleteStopTest(PlatformCase):
+    """A planned stop until the process ends."""
 
     options = SiteOptions(grace_s=1.5)
 
     async def test_row_is_removed(self) -> None:
-        # An instance that has nothing under way ends before its grace time,
-        # in order, and takes its row out of the store: a new one would greet
-        # a dead address for good.
+        # An instance without in-flight requests stops before its grace time
+        # and removes its row from the store. Otherwise new instances would
+        # contact a dead address for good.
         async with self.site() as (site, (instance,)):
             await self.until(lambda: site.store.keys("jasminerelay_instances"))
             instance.stop()
             await self.until(lambda: not instance.running)
             self.assertEqual(site.store.keys("jasminerelay_instances"), [])
 
-    async def test_store_away_at_the_end(self) -> None:
+    async def test_store_unresponsive_at_the_stop(self) -> None:
         async with self.site() as (site, (instance,)):
             site.store.faults.hang = True
             instance.stop()
@@ -271,8 +272,8 @@
     """A planned stop of one of two instances."""
 
     async def test_stream_under_way_is_finished(self) -> None:
-        # SIGTERM comes in the middle of a stream. The instance leaves the
-        # entry lists at once, finishes the stream and ends.
+        # SIGTERM arrives in the middle of a stream. The instance must leave
+        # the entry lists at once, finish the stream and then stop.
         async with self.site(2) as (site, (first, second)):
             await self.until(lambda: second.peers_live == 2)
             answers = []
--- a/tests/test_platformserver.py
+++ b/tests/test_platformserver.py
@@ -1,4 +1,4 @@
-"""What the stand-in of a backend server takes for a request."""
+"""Tests which requests the stand-in of a backend server runs."""
 
 import unittest
 
@@ -13,17 +13,18 @@
 )
 
 
-class PartOfARequestTest(PlatformCase):
-    """A connection that ends within a request."""
+class TruncatedRequestTest(PlatformCase):
+    """Connections that end within a request."""
 
     options = SiteOptions(engines=0, plain=1)
 
     async def test_is_not_run(self) -> None:
-        # A randomised run tells of a server that ran what no caller had sent.
-        # An instance sends a request's head and its body one after the other,
-        # and the connection ends in between: killed, reset, or the caller has
-        # left. The stand-in took the end for that of the body, and noted a
-        # run with half a body or none, which no server does.
+        # Guards against a stand-in that records a run of a request that no
+        # caller sent, as a randomised run reported. An instance sends head and
+        # body of a request one after the other, and the connection may end in
+        # between because the instance is killed, the connection is reset or
+        # the caller leaves. The stand-in took that for the end of the body and
+        # ran the request with a partial body, which no real server does.
         async with self.site(0) as (site, _):
             host, _, port = site.addresses["plain-1"].rpartition(":")
             for sent in (HEAD, HEAD + b"half", HEAD + b"whole one"):
