--- a/src/jasminerelay/platform/bootfile.py
+++ b/src/jasminerelay/platform/bootfile.py
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class DutyCalls:
+class DutySettings:
     """Settings of the platform calls that one instance at a time makes.
 
     Attributes:
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Boot:
+class BootSettings:
     """Settings of an instance.
 
     Attributes:
@@ -130,11 +130,11 @@
     retry_ratio: float
     retry_allowance: float
     retry_window_s: float
-    duty_calls: DutyCalls | None = None
+    duty_calls: DutySettings | None = None
     first_start: bool = False
 
 
-def parse(text: str, source: str) -> Result[Boot, list[Problem]]:
+def parse(text: str, source: str) -> Result[BootSettings, list[Problem]]:
     """Parses and validates the settings.
 
     Unknown fields are ignored, since the platform adds new ones.
@@ -186,7 +186,7 @@
     ]
 
 
-def load(path: pathlib.Path) -> Result[Boot, list[Problem]]:
+def load(path: pathlib.Path) -> Result[BootSettings, list[Problem]]:
     """Reads and checks the settings file."""
     try:
         text = path.read_text()
@@ -205,11 +205,11 @@
     )
 
 
-def _boot(raw: _BootFile) -> Boot:
+def _boot(raw: _BootFile) -> BootSettings:
     port = raw.ports[0]
     seeds = [f"{seed.rpartition(':')[0]}:{port}" for seed in raw.seeds]
     own = f"{raw.ip}:{port}"
-    return Boot(
+    return BootSettings(
         raw.name,
         raw.ip,
         raw.zone,
@@ -230,13 +230,13 @@
     )
 
 
-def _duty_calls(raw: _BootFile) -> DutyCalls | None:
+def _duty_calls(raw: _BootFile) -> DutySettings | None:
     calls = raw.duty_calls
     if calls is None:
         return None
     # All known duties are performed if the settings name none.
     selected = KNOWN_DUTIES if calls.duties is None else calls.duties
-    return DutyCalls(
+    return DutySettings(
         calls.address,
         USAGE_DUTY in selected,
         SERVERS_DUTY in selected,
--- a/src/jasminerelay/platform/documents.py
+++ b/src/jasminerelay/platform/documents.py
@@ -23,9 +23,9 @@
 MS = 1000.0
 MBPS = 1e6
 DRAINING = "draining"
-MIN_PATIENCE_S = 2.0
-PATIENCE_PER_OBJECTIVE = 4
-PATIENCE_PER_PAUSE = 8
+MIN_CALLER_IDLE_S = 2.0
+CALLER_IDLE_OBJECTIVES = 4
+CALLER_IDLE_PAUSES = 8
 """Callers close a stream that sends nothing for the longest of these: the
 minimum, the multiple of the route's latency objective, and the multiple of its
 longest allowed pause between events."""
@@ -83,8 +83,8 @@
 
 class _Scaling(msgspec.Struct):
     # Servers in each availability zone, not replicas in total.
-    least: int = msgspec.field(name="minReplicas")
-    most: int = msgspec.field(name="maxReplicas")
+    min_per_zone: int = msgspec.field(name="minReplicas")
+    max_per_zone: int = msgspec.field(name="maxReplicas")
     boot_s: float = msgspec.field(name="bootTimeS", default=0.0)
     # Fraction of the regular price, not an absolute price.
     preemptible_price: float | None = msgspec.field(
@@ -247,16 +247,16 @@
         max(1, raw.max_servers),
         raw.anonymous,
         raw.model,
-        _patience_s(raw) if streaming else math.inf,
+        _caller_idle_timeout_s(raw) if streaming else math.inf,
     )
 
 
-def _patience_s(raw: _Route) -> float:
+def _caller_idle_timeout_s(raw: _Route) -> float:
     """Returns the time without an event after which callers close a stream."""
     return max(
-        MIN_PATIENCE_S,
-        PATIENCE_PER_OBJECTIVE * raw.objective_ms / MS,
-        PATIENCE_PER_PAUSE * raw.pause_ms / MS,
+        MIN_CALLER_IDLE_S,
+        CALLER_IDLE_OBJECTIVES * raw.objective_ms / MS,
+        CALLER_IDLE_PAUSES * raw.pause_ms / MS,
     )
 
 
@@ -280,7 +280,11 @@
         return None
     # The platform may send 0 if it offers no preemptible servers.
     price = raw.preemptible_price or None
-    least = max(0, raw.least)
+    min_per_zone = max(0, raw.min_per_zone)
     return Scaling(
-        least, max(least, raw.most), raw.boot_s, price, raw.zone_prices
+        min_per_zone,
+        max(min_per_zone, raw.max_per_zone),
+        raw.boot_s,
+        price,
+        raw.zone_prices,
     )
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -11,7 +11,7 @@
 from jasminerelay.httpclient import Client
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.metrics import Counters
-from jasminerelay.platform.bootfile import Boot
+from jasminerelay.platform.bootfile import BootSettings
 from jasminerelay.platform.dutyapi import DutyApi
 from jasminerelay.platform.storeclient import Store
 from jasminerelay.platform.tables import DutyTable
@@ -31,7 +31,7 @@
 
 
 def build_duties(
-    boot: Boot,
+    boot: BootSettings,
     own: Member,
     store: Store,
     client: Client,
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -41,7 +41,7 @@
 from jasminerelay.ownedcells import OwnedCells
 from jasminerelay.peerlink import PeerLink, SnapshotApp
 from jasminerelay.platform import bootfile, documents
-from jasminerelay.platform.bootfile import Boot
+from jasminerelay.platform.bootfile import BootSettings
 from jasminerelay.platform.doors import StatusApp
 from jasminerelay.platform.dutyroot import build_duties
 from jasminerelay.platform.headers import PlatformDialect
@@ -102,7 +102,7 @@
         running: Whether it is running; False again after a planned stop.
     """
 
-    def __init__(self, boot: Boot, path: pathlib.Path):
+    def __init__(self, boot: BootSettings, path: pathlib.Path):
         """Creates the components without starting them.
 
         Args:
--- a/src/jasminerelay/platform/tables.py
+++ b/src/jasminerelay/platform/tables.py
@@ -121,7 +121,7 @@
     async def read(self) -> _StoredLease:
         """Returns the stored lease and updates the reports."""
         page = await self._store.read(DUTIES_TABLE)
-        self._note_reports(page.rows)
+        self._record_reports(page.rows)
         return self._stored_lease(page.rows, page.now_s)
 
     async def write(
@@ -141,7 +141,7 @@
             old = self._drop_old(extra.window)
         done = await self._store.commit(conditions, rows, old)
         if not done.done:
-            self._note_reports(done.rows)
+            self._record_reports(done.rows)
             return False, self._stored_lease(done.rows, done.now_s)
         if extra is not None:
             self.reports[extra.window] = extra.counts
@@ -153,7 +153,7 @@
             del self.reports[window]
         return [(DUTIES_TABLE, _report_key(window)) for window in old]
 
-    def _note_reports(self, rows: tuple[ServerRow, ...]) -> None:
+    def _record_reports(self, rows: tuple[ServerRow, ...]) -> None:
         for row in rows:
             if row.data is None or not row.id.startswith(REPORT_PREFIX):
                 continue
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -148,7 +148,7 @@
         self.assertEqual((holder.name, holder.rank), ("elm", 1))
         self.assertEqual(self.catalog.services["one"].engine.slots, 8)
 
-    def test_patience_of_callers(self) -> None:
+    def test_idle_timeout_of_callers(self) -> None:
         # The longest of 2 s, four times the latency objective and eight times
         # the longest pause.
         base = {**CONFIGURATION["routes"][0], "routeType": "streaming"}
