--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -383,18 +383,18 @@
         "test_platform.FailuresTest.test_refused_move_is_no_second_run",
     ),
     Safeguard(
-        "callers do not set the system's fields",
+        "reserved header fields of callers are dropped",
         "platform/headers",
-        "left = _HOP | _OURS | named",
-        "left = _HOP | named",
+        "dropped = _HOP_BY_HOP | _RESERVED | connection_fields",
+        "dropped = _HOP_BY_HOP | connection_fields",
         "test_platform.RequestsTest.test_plain_request",
     ),
     Safeguard(
-        "not found only while in touch",
+        "not found only with a current configuration",
         "platform/ingress",
-        "if not self._front.current():",
+        "if not self._context.is_current():",
         "if False:",
-        "test_platforminstances.StoreOutageTest.test_unknown_route_without_touch",
+        "test_platforminstances.StoreOutageTest.test_unknown_route_without_store",
     ),
     Safeguard(
         "an instance that is behind fetches from another",
@@ -449,7 +449,7 @@
         "test_platforminstances.SlowCallerTest.test_times_of_the_configuration",
     ),
     Safeguard(
-        "a body that pauses too long is refused",
+        "a body that pauses for too long is refused",
         "platform/ingress",
         "with anyio.move_on_after(bounds.idle_s) as scope:",
         "with anyio.move_on_after(1e6) as scope:",
@@ -548,7 +548,7 @@
         "        if self._freshness.age_s(now_s()) > CURRENT_S:\n",
         "        if False:\n",
         "test_platforminstances.StoreOutageTest"
-        ".test_unknown_route_among_instances_without_touch",
+        ".test_unknown_route_at_two_instances_without_store",
     ),
     Safeguard(
         "an unreadable configuration lets nothing be refused for good",
@@ -628,14 +628,14 @@
         "peerlink",
         "is_early = now - began < EARLY_JOIN_PERIOD_S",
         "is_early = False",
-        "test_platforminstances.MeetingTest.test_started_together",
+        "test_platforminstances.DiscoveryTest.test_started_together",
     ),
     Safeguard(
-        "callers do not name the source of a start",
+        "callers do not choose the source of a cached prefix",
         "platform/headers",
-        "        _FETCH_FROM,\n        DEADLINE,",
+        "        _FETCH_PREFIX_FROM,\n        DEADLINE,",
         "        DEADLINE,",
-        "test_adapter.HeadersTest.test_source_of_the_start",
+        "test_adapter.HeadersTest.test_source_of_the_cached_prefix",
     ),
     Safeguard(
         "overflow follows a common order",
