--- a/src/jasminerelay/errors.py
+++ b/src/jasminerelay/errors.py
@@ -1,8 +1,8 @@
-"""Every exception of the package, under one base.
+"""Exceptions of the package, with a common base class.
 
-Each class carries what a caller or an operator needs to mend the fault: an
-HTTP status, a stable code, a remedy in plain words, whether the request ran
-and, where coming back helps, after how many seconds.
+Each class carries what a caller or an operator needs to handle the error: an
+HTTP status, a stable error code, a suggested remedy, whether the request ran
+and, where a retry can succeed, the delay before it in seconds.
 """
 
 import dataclasses
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Problem:
-    """One fault in a file that an operator wrote.
+    """One validation error in a settings file or manifest.
 
     Attributes:
-        source: File that holds the fault.
-        key: Dotted path of the faulty key.
-        found: What stands there.
-        expected: What may stand there.
-        remedy: What to do.
+        source: File that contains the error.
+        key: Dotted path of the invalid key.
+        found: Value found at the key.
+        expected: Description of the valid values.
+        remedy: How to correct the file.
     """
 
     source: str
@@ -38,21 +38,22 @@
 
 
 class RelayError(Exception):
-    """Base of every error that the package raises.
+    """Base class of the errors that the package raises.
 
     Attributes:
-        status: HTTP status of the answer.
-        code: Stable word for programs.
-        kind: Error type in the shape that OpenAI clients know.
-        remedy: What the reader can do.
-        ran: "no", "yes" or "unknown": whether the request ran.
-        retry_s: Seconds after which a new try is worth while; None if never.
+        status: HTTP status of the response.
+        code: Stable, machine-readable error code.
+        kind: Error type as in the OpenAI API.
+        remedy: Suggested action for the caller or operator.
+        ran: Whether the request ran: "no", "yes" or "unknown".
+        retry_s: Delay before a retry in seconds; None if a retry cannot
+            succeed.
     """
 
     status = 500
     code = "internal_error"
     kind = "server_error"
-    remedy = "Report this with the request id; it is a fault of the relay."
+    remedy = "Internal error of the relay; report it with the request id."
 
     def __init__(
         self,
@@ -70,12 +71,12 @@
 
 
 class CheckError(RelayError):
-    """A settings file or a manifest has faults; lists all of them."""
+    """A settings file or a manifest is invalid; lists every error in it."""
 
     status = 422
     code = "check_failed"
     kind = "invalid_request_error"
-    remedy = "Mend every listed key and try again."
+    remedy = "Correct every listed key and try again."
 
     def __init__(self, problems: list[Problem]):
         super().__init__("\n".join(str(problem) for problem in problems))
@@ -83,16 +84,16 @@
 
 
 class BadRequestError(RelayError):
-    """The request cannot be read."""
+    """The request is malformed."""
 
     status = 400
     code = "bad_request"
     kind = "invalid_request_error"
-    remedy = "Mend the request body as the message says."
+    remedy = "Correct the request body as the message describes."
 
 
 class UnknownKeyError(RelayError):
-    """No organisation has the caller's key."""
+    """The caller's key belongs to no organisation."""
 
     status = 401
     code = "invalid_api_key"
@@ -101,44 +102,44 @@
 
 
 class CrashingRequestError(RelayError):
-    """Backend servers end while they run the request; it is not sent again."""
+    """The request is blocked: backend servers crashed while running it."""
 
     status = 500
     code = "request_ends_servers"
     remedy = (
-        "Do not send it again unchanged; give the operators the request id."
+        "Do not retry it unchanged; report the request id to the operators."
     )
 
 
 class ForbiddenError(RelayError):
-    """The organisation may not use what the request names."""
+    """The organisation may not use the requested model or service."""
 
     status = 403
     code = "forbidden"
     kind = "permission_error"
-    remedy = "Ask the operators to allow it in the manifest."
+    remedy = "Ask the operators to grant access in the manifest."
 
 
 class NotFoundError(RelayError):
-    """The manifest names no such model, service, call or path."""
+    """The manifest declares no such model, service, call or path."""
 
     status = 404
     code = "not_found"
     kind = "invalid_request_error"
-    remedy = "See GET /v1/models, or the manifest, for the names in force."
+    remedy = "See GET /v1/models, or the manifest, for the valid names."
 
 
 class ConflictError(RelayError):
-    """Another request with the same key is open, or its outcome unknown."""
+    """A request with the same idempotency key is open or of unknown outcome."""
 
     status = 409
     code = "idempotency_conflict"
     kind = "invalid_request_error"
-    remedy = "Wait for the first request, then repeat with the same key."
+    remedy = "Wait for the first request to end, then retry with the same key."
 
 
 class ResumeGoneError(RelayError):
-    """The backend server holds the broken stream no longer."""
+    """The backend server no longer holds the interrupted stream."""
 
     status = 409
     code = "resume_gone"
@@ -147,7 +148,7 @@
 
 
 class TooLargeError(RelayError):
-    """The request body is larger than the bound."""
+    """The request body exceeds the size limit."""
 
     status = 413
     code = "body_too_large"
@@ -156,7 +157,7 @@
 
 
 class TooSlowError(RelayError):
-    """The caller paused for too long inside its request."""
+    """The caller did not send its whole request in time."""
 
     status = 408
     code = "request_too_slow"
@@ -165,7 +166,7 @@
 
 
 class KeyReusedError(RelayError):
-    """An idempotency key came back with another request."""
+    """An idempotency key was used again with a different request."""
 
     status = 422
     code = "idempotency_key_reused"
@@ -174,22 +175,22 @@
 
 
 class LimitError(RelayError):
-    """The organisation's own limit is reached."""
+    """The organisation's rate limit is reached."""
 
     status = 429
     code = "rate_limit_exceeded"
     kind = "rate_limit_error"
-    remedy = "Come back after Retry-After seconds."
+    remedy = "Wait for the number of seconds in Retry-After, then retry."
 
 
 class NoRoomError(RelayError):
-    """The request would not be served in time, or found no room."""
+    """The request cannot be served in time, or the queue is full."""
 
     status = 503
     code = "no_room"
     remedy = (
-        "Come back after Retry-After seconds and send X-Return-Ticket, which"
-        " keeps your place by age."
+        "Wait for the number of seconds in Retry-After, then retry with"
+        " X-Return-Ticket, so that the time already waited counts."
     )
 
     def __init__(self, message: str, *, ticket: str = "", **fields):
@@ -198,31 +199,34 @@
 
 
 class StoreError(RelayError):
-    """The platform's store did not answer, or refused."""
+    """The platform's store did not answer or refused the call."""
 
     status = 503
     code = "store_unavailable"
-    remedy = "Come back after Retry-After seconds with the same key."
+    remedy = (
+        "Wait for the number of seconds in Retry-After, then retry with the"
+        " same Idempotency-Key."
+    )
 
 
 class BackendError(RelayError):
-    """A backend server failed the request."""
+    """A backend server failed while handling the request."""
 
     status = 502
     code = "backend_failed"
-    remedy = "If it may run twice, send the request again."
+    remedy = "Retry the request if running it twice is safe."
 
 
 class NotReadyError(RelayError):
-    """The instance holds no manifest yet."""
+    """The instance has no manifest yet."""
 
     status = 503
     code = "not_ready"
-    remedy = "Use another instance of GET /v1/entry, or come back shortly."
+    remedy = "Use another instance from GET /v1/entry, or retry shortly."
 
 
 class ManifestConflictError(RelayError):
-    """Another operator's manifest was accepted first."""
+    """Another manifest was accepted on top of the same version first."""
 
     status = 409
     code = "manifest_conflict"
@@ -240,6 +244,6 @@
 
 
 class InvariantError(RelayError):
-    """A state that must not occur; the message holds the evidence."""
+    """An invariant is violated; the message contains the evidence."""
 
     code = "invariant_violated"
--- a/src/jasminerelay/eventlog.py
+++ b/src/jasminerelay/eventlog.py
@@ -1,9 +1,9 @@
-"""Structured log lines: bounded in volume, never in the way of work.
+"""Structured, rate-limited logging that never blocks.
 
-A line is a JSON object on standard output. Lines on trouble (refused, failed,
-lost or regained dependencies) have a budget of their own, so that a flood of
-ordinary ones never displaces them. What is left out is counted, and the
-count stands in the next line that is written.
+Each line is a JSON object on standard output. Warnings (refused or failed
+requests, dependencies lost or regained) have a rate limit of their own, so
+that a flood of informational lines never displaces them. Dropped lines are
+counted, and the next written line carries the count.
 """
 
 import logging
@@ -14,26 +14,26 @@
 
 import msgspec
 
-LINES_PER_S = 60.0
-TROUBLE_PER_S = 120.0
+INFO_LINES_PER_S = 60.0
+WARNING_LINES_PER_S = 120.0
 BURST_S = 4.0
-"""Lines a second, and for how many seconds' worth a burst may run ahead. At
-some 400 bytes a line it bounds the output to 72 KB a second."""
+"""Sustained rates, and burst capacity in seconds of the rate. At about 400
+bytes a line, the output stays below 72 KB a second."""
 
 _encode = msgspec.json.encode
 
 
-class _Bucket:
+class _TokenBucket:
     def __init__(self, rate: float):
         self._rate = rate
         self._level = rate * BURST_S
-        self._at = time.monotonic()
+        self._refilled_at = time.monotonic()
 
     def take(self) -> bool:
         now = time.monotonic()
-        gained = (now - self._at) * self._rate
-        self._level = min(self._rate * BURST_S, self._level + gained)
-        self._at = now
+        refill = (now - self._refilled_at) * self._rate
+        self._level = min(self._rate * BURST_S, self._level + refill)
+        self._refilled_at = now
         if self._level < 1:
             return False
         self._level -= 1
@@ -41,7 +41,7 @@
 
 
 class EventLog:
-    """Writes an instance's events.
+    """Writes an instance's events as JSON lines.
 
     Example:
         >>> log = EventLog("edge-1")                 # doctest: +SKIP
@@ -49,31 +49,31 @@
     """
 
     def __init__(self, instance: str, fd: int | None = None):
-        """Makes the log.
+        """Initializes the log.
 
         Args:
-            instance: Name that each line carries.
-            fd: Where lines go; standard output if None.
+            instance: Instance name written in each line.
+            fd: File descriptor to write to; standard output if None.
         """
         self._instance = instance
         self._fd = sys.stdout.fileno() if fd is None else fd
         os.set_blocking(self._fd, False)
-        self._usual = _Bucket(LINES_PER_S)
-        self._trouble = _Bucket(TROUBLE_PER_S)
-        self._rest = b""
+        self._info_bucket = _TokenBucket(INFO_LINES_PER_S)
+        self._warning_bucket = _TokenBucket(WARNING_LINES_PER_S)
+        self._unwritten = b""
         self.left_out = 0
         self.written = 0
 
     def info(self, event: str, **fields: Any) -> None:
-        """Writes an ordinary event."""
-        self._write(self._usual, event, fields)
+        """Writes an informational event."""
+        self._write(self._info_bucket, event, fields)
 
     def trouble(self, event: str, **fields: Any) -> None:
-        """Writes an event that an operator will look for."""
-        self._write(self._trouble, event, fields)
+        """Writes a warning: an event that operators need to see."""
+        self._write(self._warning_bucket, event, fields)
 
     def _write(
-        self, bucket: _Bucket, event: str, fields: dict[str, Any]
+        self, bucket: _TokenBucket, event: str, fields: dict[str, Any]
     ) -> None:
         if not bucket.take():
             self.left_out += 1
@@ -87,13 +87,13 @@
         }
         if self.left_out:
             line["left_out"] = self.left_out
-        self._put(_encode(line) + b"\n")
+        self._write_line(_encode(line) + b"\n")
 
-    def _put(self, line: bytes) -> None:
-        # A pipe that nobody reads is full after a while. A write that blocks
-        # would stop every request of the instance, so the line is dropped
-        # and counted; a half-written line is completed first.
-        data = self._rest + line
+    def _write_line(self, line: bytes) -> None:
+        # A pipe whose reader has stopped fills up. A blocking write would
+        # stall every request of the instance, so the line is dropped and
+        # counted instead. The rest of a partly written line goes first.
+        data = self._unwritten + line
         try:
             done = os.write(self._fd, data)
         except (BlockingIOError, BrokenPipeError):
@@ -101,18 +101,21 @@
             return
         self.written += 1
         self.left_out = 0
-        self._rest = data[done:] if done < len(data) else b""
+        self._unwritten = data[done:] if done < len(data) else b""
 
 
 class Bridge(logging.Handler):
-    """Passes the lines of `logging`, libraries' among them, to the log."""
+    """Forwards warnings and errors from `logging` to the event log.
+
+    This includes the records of libraries.
+    """
 
     def __init__(self, log: EventLog):
         super().__init__(logging.WARNING)
         self._log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a record."""
+        """Writes a record to the event log."""
         fields = {"logger": record.name, "message": record.getMessage()}
         if record.exc_info and record.exc_info[0] is not None:
             formatter = logging.Formatter()
--- a/src/jasminerelay/metrics.py
+++ b/src/jasminerelay/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, and what happens when an invariant is violated."""
+"""Event counters and the handling of violated invariants."""
 
 import collections
 import logging
@@ -15,7 +15,7 @@
 
 
 class Counters:
-    """Counts events; sends the changes to statsd in one datagram a flush."""
+    """Counts events; each flush sends the increments to statsd in a batch."""
 
     def __init__(self, cfg: Statsd):
         self._client = (
@@ -27,15 +27,15 @@
         self._sent: collections.Counter[str] = collections.Counter()
 
     def incr(self, name: str, count: int = 1) -> None:
-        """Counts an event."""
+        """Increments a counter."""
         self._totals[name] += count
 
     def snapshot(self) -> dict[str, int]:
-        """Returns all counts since the start."""
+        """Returns the counts since the process started."""
         return dict(sorted(self._totals.items()))
 
     def flush(self) -> None:
-        """Sends what has changed since the last flush."""
+        """Sends the increments since the last flush to statsd."""
         if self._client is None:
             return
         with self._client.pipeline() as pipe:
@@ -46,14 +46,17 @@
 
 
 class Invariants:
-    """Takes reports of violated invariants."""
+    """Handles violated invariants."""
 
     def __init__(self, counters: Counters, *, fatal: bool):
         self._counters = counters
         self._fatal = fatal
 
     def violated(self, exc: InvariantError) -> None:
-        """Counts and logs a violation; in tests it ends the process."""
+        """Counts and logs a violation; ends the process if it is fatal.
+
+        The setting fatal_invariants, used in tests, makes violations fatal.
+        """
         self._counters.incr("invariant.violated")
         _log.error("invariant violated: %s", exc)
         if self._fatal:
--- a/src/jasminerelay/telemetry.py
+++ b/src/jasminerelay/telemetry.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms as text, for whoever collects metrics."""
+"""Counters and latency histograms in the Prometheus text format."""
 
 from collections.abc import Iterator
 
@@ -8,20 +8,20 @@
 
 from jasminerelay.metrics import Counters
 
-PREFIX = "jasminerelay"
-BOUNDS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0)
-"""Upper bounds of the histograms' steps in seconds, from a plain call to the
-longest time limit that callers give."""
+METRIC_PREFIX = "jasminerelay"
+LATENCY_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0)
+"""Upper bounds of the histogram buckets. They range from the latency of a
+call to a plain service to the longest time limit that callers set."""
 
 
 class Telemetry:
     """An instance's metrics."""
 
     def __init__(self, counters: Counters):
-        """Makes the metrics.
+        """Initializes the metrics.
 
         Args:
-            counters: Counts events; shown as they stand when asked.
+            counters: Event counters, read at each scrape.
         """
         self._registry = CollectorRegistry()
         self._registry.register(_CounterCollector(counters))
@@ -31,27 +31,27 @@
     def answered(
         self, rank: int, first_s: float | None, total_s: float
     ) -> None:
-        """Notes a request's end.
+        """Records the latencies of a finished request.
 
         Args:
-            rank: Its rank.
-            first_s: Time to its first event; None without one.
-            total_s: Time to its end.
+            rank: Rank of the request.
+            first_s: Time to the first event; None if there was none.
+            total_s: Time to the end of the request.
         """
         if first_s is not None:
             self._first.labels(rank).observe(first_s)
         self._total.labels(rank).observe(total_s)
 
     def text(self) -> bytes:
-        """Returns all of it in the usual exposition format."""
+        """Returns the metrics in the Prometheus exposition format."""
         return generate_latest(self._registry)
 
-    def _histogram(self, name: str, what: str) -> Histogram:
+    def _histogram(self, name: str, endpoint: str) -> Histogram:
         return Histogram(
-            f"{PREFIX}_{name}",
-            f"Time to the {what}, by rank.",
+            f"{METRIC_PREFIX}_{name}",
+            f"Time to the {endpoint}, by rank.",
             ["rank"],
-            buckets=BOUNDS_S,
+            buckets=LATENCY_BUCKETS_S,
             registry=self._registry,
         )
 
@@ -62,5 +62,5 @@
 
     def collect(self) -> Iterator[Metric]:
         for name, count in self._counters.snapshot().items():
-            shown = f"{PREFIX}_{name.replace('.', '_')}"
-            yield CounterMetricFamily(shown, name, value=count)
+            metric = f"{METRIC_PREFIX}_{name.replace('.', '_')}"
+            yield CounterMetricFamily(metric, name, value=count)
