--- a/src/jasminerelay/explain.py
+++ b/src/jasminerelay/explain.py
@@ -1,6 +1,7 @@
-"""From a request's id to its cause, by the lines of any number of instances.
+"""Finds out from the logs of any number of instances how a request ended.
 
-Pure: it takes lines and returns what is worth reading, in the order of time.
+The module does no input or output: it takes log lines and returns the
+relevant events in chronological order.
 """
 
 import collections
@@ -11,13 +12,13 @@
 import msgspec
 
 CONTEXT_S = 15.0
-"""How long before a request's arrival events of its surroundings are shown."""
+"""How long before a request's arrival context events are included."""
 
-SLOW_WAIT_S = 0.2
-"""Wait in the instance from which on it is named as a cause."""
+LONG_WAIT_S = 0.2
+"""Queueing time above which it is reported as a cause."""
 
-_BOOKKEEPING = frozenset({"at", "steady", "instance", "event", "left_out"})
-_SURROUNDINGS = frozenset(
+_COMMON_FIELDS = frozenset({"at", "steady", "instance", "event", "left_out"})
+_CONTEXT_EVENTS = frozenset(
     {
         "configuration",
         "dependency_lost",
@@ -37,22 +38,22 @@
     }
 )
 
-_ABOUT_SERVERS = frozenset({"server", "server_ended", "move", "move_failed"})
-_ABOUT_REQUESTS = frozenset({"request_blocked", "request_released"})
-"""Of interest only where they name the request's fingerprint."""
+_SERVER_EVENTS = frozenset({"server", "server_ended", "move", "move_failed"})
+_BLOCKING_EVENTS = frozenset({"request_blocked", "request_released"})
+"""Included only if they carry the request's fingerprint."""
 
-_NOT_SHOWN = frozenset({"settings"})
+_HIDDEN_FIELDS = frozenset({"settings"})
 
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """One line of a log.
+    """One log line.
 
     Attributes:
-        at: Time of day of the instance that wrote it, in seconds.
-        instance: That instance.
-        name: What happened.
-        fields: With what.
+        at: Unix time in seconds, by the clock of the instance that wrote it.
+        instance: Name of the instance that wrote it.
+        name: Event name.
+        fields: Event-specific fields.
     """
 
     at: float
@@ -64,33 +65,35 @@
         shown = " ".join(
             f"{key}={value}"
             for key, value in self.fields.items()
-            if value not in (None, "", []) and key not in _NOT_SHOWN
+            if value not in (None, "", []) and key not in _HIDDEN_FIELDS
         )
         return f"{self.at:.3f} {self.instance} {self.name} {shown}"
 
 
 @dataclasses.dataclass(frozen=True)
 class Explanation:
-    """What is known of a request.
+    """How a request ended, with the log events that show why.
 
     Attributes:
-        own: Lines that name it.
-        surroundings: Lines on what it rested on, shortly before and during.
-        causes: What led to its end, in words.
-        left_out: Lines that the instances left out meanwhile.
+        own: Events that carry the request's id.
+        context: Events of the servers and instances involved, from shortly
+            before its arrival to its end, and blocks or releases of the same
+            request at any time.
+        causes: Descriptions of what led to its end.
+        left_out: Number of log lines that the instances dropped.
     """
 
     own: tuple[Event, ...]
-    surroundings: tuple[Event, ...]
+    context: tuple[Event, ...]
     causes: tuple[str, ...]
     left_out: int
 
 
 def read(lines: Iterable[str]) -> tuple[list[Event], int]:
-    """Returns the events of a log, and how many lines were left out.
+    """Parses log lines into events; also returns the number of dropped lines.
 
-    Whatever stands before a line's first brace, as a collector's prefix, and
-    lines that are no events are passed over.
+    Text before the first brace of a line, such as a log collector's prefix,
+    and lines that are not events are skipped.
     """
     events = []
     left_out = 0
@@ -105,7 +108,7 @@
         if not isinstance(raw, dict) or "event" not in raw:
             continue
         left_out += raw.get("left_out", 0)
-        fields = {k: v for k, v in raw.items() if k not in _BOOKKEEPING}
+        fields = {k: v for k, v in raw.items() if k not in _COMMON_FIELDS}
         events.append(
             Event(
                 float(raw.get("at", 0.0)),
@@ -121,7 +124,7 @@
 def explain(
     request: str, events: Iterable[Event], left_out: int = 0
 ) -> Explanation | None:
-    """Returns what is known of a request; None if no line names it."""
+    """Explains how a request ended; None if no event carries its id."""
     events = list(events)
     own = [event for event in events if event.fields.get("id") == request]
     if not own:
@@ -129,37 +132,40 @@
     first = min(
         event.at - float(event.fields.get("total_s", 0.0)) for event in own
     )
-    last = max(event.at for event in own)
+    ended = max(event.at for event in own)
     servers = {
         server for event in own for server in event.fields.get("servers", ())
     }
     instances = {event.instance for event in own}
-    prints = {event.fields.get("fingerprint") for event in own} - {"", None}
-    surroundings = [
+    fingerprints = {event.fields.get("fingerprint") for event in own} - {
+        "",
+        None,
+    }
+    context = [
         event
         for event in events
-        if event.name in _SURROUNDINGS
+        if event.name in _CONTEXT_EVENTS
         and event not in own
         and (
-            event.fields.get("fingerprint") in prints
-            if event.name in _ABOUT_REQUESTS
-            else first - CONTEXT_S <= event.at <= last
-            and _concerns(event, instances, servers)
+            event.fields.get("fingerprint") in fingerprints
+            if event.name in _BLOCKING_EVENTS
+            else first - CONTEXT_S <= event.at <= ended
+            and _is_related(event, instances, servers)
         )
     ]
     causes = [cause for event in own for cause in _causes(event)]
-    return Explanation(tuple(own), tuple(surroundings), tuple(causes), left_out)
+    return Explanation(tuple(own), tuple(context), tuple(causes), left_out)
 
 
 @dataclasses.dataclass(frozen=True)
 class Loss:
-    """Requests of one kind that were not served, for one cause.
+    """Requests of one route that were not served for the same cause.
 
     Attributes:
-        route: Their route.
-        cause: The cause, in words.
-        count: How many.
-        example: The id of one of them.
+        route: Route of the requests.
+        cause: Description of the cause.
+        count: Number of requests.
+        example: Id of one of them.
     """
 
     route: str
@@ -169,53 +175,58 @@
 
 
 def summarize(events: Iterable[Event]) -> tuple[dict[str, int], list[Loss]]:
-    """Returns requests by route, and those not served, the most first.
+    """Counts requests by route, and unserved ones by route and cause.
 
-    A caller may come back under another id after a refusal, so what is
-    counted are requests as callers sent them.
+    The unserved ones are sorted by count, highest first. A retry after a
+    refusal may carry another id, so each attempt of a caller counts as a
+    request.
     """
-    asked: collections.Counter[str] = collections.Counter()
-    lost: dict[tuple[str, str], list[str]] = {}
+    total: collections.Counter[str] = collections.Counter()
+    unserved: dict[tuple[str, str], list[str]] = {}
     for event in events:
         if event.name != "request":
             continue
         route = str(event.fields.get("route", "?"))
-        asked[route] += 1
+        total[route] += 1
         if not event.fields.get("whole"):
-            ids = lost.setdefault((route, _loss(event.fields)), [])
+            ids = unserved.setdefault((route, _loss_cause(event.fields)), [])
             ids.append(str(event.fields.get("id", "?")))
     losses = [
         Loss(route, cause, len(ids), ids[0])
-        for (route, cause), ids in lost.items()
+        for (route, cause), ids in unserved.items()
     ]
     losses.sort(key=lambda loss: (-loss.count, loss.route, loss.cause))
-    return dict(asked), losses
+    return dict(total), losses
 
 
-def _loss(fields: dict[str, Any]) -> str:
-    """Returns in words why a request was not served."""
+def _loss_cause(fields: dict[str, Any]) -> str:
+    """Describes why a request was not served."""
     status, begun = fields.get("status"), bool(fields.get("events"))
     sent = bool(fields.get("servers"))
     why = str(fields.get("why", ""))
     if fields.get("ended") != "done":
         if begun:
             return "caller left during the answer"
-        return "caller left before the answer" + ("" if sent else ", unplaced")
+        return "caller left before the answer" + (
+            "" if sent else ", not yet placed"
+        )
     if "time was over" in why:
-        return "time limit" + (" during the answer" if begun else "")
+        return "time limit exceeded" + (" during the answer" if begun else "")
     if status == 503:
-        return "refused: " + ("servers did not run it" if sent else "no room")
+        return "refused: " + (
+            "servers did not run it" if sent else "no capacity"
+        )
     if begun:
-        return "answer broke off at the server"
+        return "server connection lost during the answer"
     if status in (502, 504):
-        return "server broke off before the answer"
+        return "server connection lost before the answer"
     if not sent:
-        return "refused: servers end while they run it"
+        return "refused: servers crash while running it"
     return f"server answered {status}"
 
 
-def _concerns(event: Event, instances: set[str], servers: set[str]) -> bool:
-    if event.name in _ABOUT_SERVERS:
+def _is_related(event: Event, instances: set[str], servers: set[str]) -> bool:
+    if event.name in _SERVER_EVENTS:
         named = {event.fields.get("server"), event.fields.get("source")}
         return bool(named & servers)
     return event.instance in instances
@@ -232,31 +243,34 @@
         return []
     causes = []
     waited = fields.get("waited_s") or 0.0
-    if waited > SLOW_WAIT_S:
-        causes.append(f"waited {waited} s in the instance for a server")
+    if waited > LONG_WAIT_S:
+        causes.append(f"waited {waited} s in the queue for a server")
     first, pause = fields.get("first_s"), fields.get("pause_s") or 0.0
     if first is not None:
         causes.append(
-            f"first event after {first} s, longest pause {pause} s,"
+            f"first event after {first} s, longest pause between events"
+            f" {pause} s,"
             f" {fields.get('events')} events"
         )
     if len(fields.get("servers", ())) > 1:
-        causes.append(f"sent to {len(fields['servers'])} servers in turn")
+        causes.append(
+            f"sent to {len(fields['servers'])} servers, one after another"
+        )
     if fields.get("why"):
-        causes.append(f"last trouble: {fields['why']}")
+        causes.append(f"last error: {fields['why']}")
     status = fields.get("status")
     if fields.get("ended") != "done":
         causes.append(f"the caller left after {fields.get('total_s')} s")
     elif status == 503:
-        causes.append("answered 503: it has not run")
+        causes.append("answered 503: the request did not run")
     elif status == 500 and not fields.get("servers"):
-        causes.append("answered 500: it has not run and is not sent again")
+        causes.append("answered 500: it did not run and is not sent again")
     elif status in (502, 504):
-        causes.append(f"answered {status}: it may have run")
+        causes.append(f"answered {status}: the request may have run")
     causes.append(
-        f"decided on configuration {fields.get('configuration')} by knowledge"
-        f" {fields.get('knowledge_age_s')} s old, with the store's last word"
-        f" {fields.get('store_age_s')} s old and"
-        f" {fields.get('instances')} instances live"
+        f"state at its end: configuration {fields.get('configuration')},"
+        f" data {fields.get('knowledge_age_s')} s old, last response of the"
+        f" store {fields.get('store_age_s')} s old,"
+        f" {fields.get('instances')} live instances"
     )
     return causes
--- a/src/jasminerelay/localcommands.py
+++ b/src/jasminerelay/localcommands.py
@@ -1,4 +1,4 @@
-"""Commands of the tool that ask no instance."""
+"""Commands of the tool that contact no instance."""
 
 import dataclasses
 import json
@@ -26,7 +26,7 @@
 
 
 def check(arguments: dict[str, Any]) -> int:
-    """Prints the faults of a manifest; returns the exit status."""
+    """Prints the errors in a manifest; returns the exit status."""
     path = arguments["FILE"]
     parsed = manifest.parse(read(path), path)
     problems = parsed.unwrap_err() if parsed.is_err() else []
@@ -40,7 +40,7 @@
 
 
 def check_platform(arguments: dict[str, Any]) -> int:
-    """Prints a platform settings file as read, or its faults."""
+    """Prints the parsed settings of a platform settings file, or its errors."""
     loaded = bootfile.load(pathlib.Path(arguments["SETTINGS"]))
     if loaded.is_err():
         for problem in loaded.unwrap_err():
@@ -52,7 +52,7 @@
 
 
 def check_deploy(arguments: dict[str, Any]) -> int:
-    """Prints the roles of a deploy file, or its faults."""
+    """Prints the roles of a deploy file, or its errors."""
     loaded = deployfile.load(pathlib.Path(arguments["FILE"]))
     if loaded.is_err():
         for problem in loaded.unwrap_err():
@@ -63,26 +63,28 @@
 
 
 def release_request(arguments: dict[str, Any]) -> int:
-    """Lets a blocked request be sent again; returns the exit status."""
+    """Unblocks a request; returns the exit status."""
     name = arguments["FINGERPRINT"].lower()
     if len(name) != 2 * SIZE_BYTES or set(name) - set(string.hexdigits):
         raise CommandError(
-            f"{name}: not a fingerprint; take it from the request's line,"
-            f" {2 * SIZE_BYTES} digits",
+            f"{name}: not a fingerprint; expected the"
+            f" {2 * SIZE_BYTES} hexadecimal digits from the request's log line",
             EXIT_USAGE,
         )
     address = arguments["STORE"]
     if not address.rpartition(":")[2].isdigit():
-        raise CommandError(f"{address}: give the store as IP:PORT", EXIT_USAGE)
+        raise CommandError(
+            f"{address}: not a store address; expected IP:PORT", EXIT_USAGE
+        )
     try:
         release(name, address)
     except StoreError as exc:
         raise CommandError(f"{exc.message}; try again") from exc
-    print(f"{name} is released; instances know it within half a minute")
+    print(f"{name} is released; all instances apply it within 30 s")
     return 0
 
 
-def _events(arguments: dict[str, Any]) -> tuple[list[explain.Event], int]:
+def _read_events(arguments: dict[str, Any]) -> tuple[list[explain.Event], int]:
     lines = []
     for path in arguments["LOG"]:
         lines += read(path).splitlines()
@@ -92,37 +94,37 @@
 
 
 def show_losses(arguments: dict[str, Any]) -> int:
-    """Prints the requests in logs that were not served, by cause."""
-    events, left_out = _events(arguments)
-    asked, losses = explain.summarize(events)
+    """Prints the number of unserved requests in logs, by route and cause."""
+    events, left_out = _read_events(arguments)
+    total, losses = explain.summarize(events)
     rows = [
-        [item.route, item.cause, item.count, asked[item.route], item.example]
+        [item.route, item.cause, item.count, total[item.route], item.example]
         for item in losses
     ]
     headers = ["route", "cause", "requests", "of", "example"]
     print(tabulate.tabulate(rows, headers))
     if left_out:
-        print(f"{left_out} lines were left out by the instances.")
+        print(f"{left_out} log lines were dropped by the instances.")
     return 0
 
 
 def show_cause(arguments: dict[str, Any]) -> int:
-    """Prints how a request came to its end, by logs."""
-    events, left_out = _events(arguments)
+    """Prints how a request ended, as found in logs."""
+    events, left_out = _read_events(arguments)
     found = explain.explain(arguments["ID"], events, left_out)
     if found is None:
         raise CommandError(
-            f"no line names {arguments['ID']}; give the logs of all instances,"
-            " also of those that have ended"
+            f"no log line contains request id {arguments['ID']}; pass the logs"
+            " of all instances, including those that have ended"
         )
     for title, part in (
         ("Request", found.own),
-        ("Surroundings", found.surroundings),
-        ("In words", found.causes),
+        ("Context", found.context),
+        ("Causes", found.causes),
     ):
         print(f"{title}:")
         for item in part:
             print(f"  {item}")
     if found.left_out:
-        print(f"{found.left_out} lines were left out by the instances.")
+        print(f"{found.left_out} log lines were dropped by the instances.")
     return 0
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause."""
+"""The commands explain and losses, and the module behind them."""
 
 import contextlib
 import io
@@ -12,7 +12,7 @@
 
 
 def line(at: float, instance: str, event: str, **fields) -> str:
-    """Returns a line as an instance writes it, with a collector's prefix."""
+    """Returns a log line with a log collector's prefix."""
     body = {"at": at, "instance": instance, "event": event, **fields}
     return f"2026 {instance} {json.dumps(body)}"
 
@@ -42,27 +42,27 @@
         instances=6,
         left_out=3,
     ),
-    "not a line of ours",
+    "not a line of the relay",
     "{broken",
     '{"no": "event"}',
 ]
 
 
 class ExplainTest(unittest.TestCase):
-    """The walk that an on-call engineer reads."""
+    """Explanations of how a request ended."""
 
-    def test_walk(self) -> None:
+    def test_context_and_causes(self) -> None:
         events, left_out = explain.read(LOG)
         found = explain.explain("a1", events, left_out)
         self.assertEqual(len(found.own), 1)
-        shown = [str(event) for event in found.surroundings]
+        shown = [str(event) for event in found.context]
         self.assertEqual(len(shown), 2)
         self.assertIn("draining", shown[0])
         self.assertIn("dependency_lost", shown[1])
-        words = " ".join(found.causes)
-        self.assertIn("waited 0.5 s", words)
-        self.assertIn("broke off", words)
-        self.assertIn("1.8 s old", words)
+        causes = " ".join(found.causes)
+        self.assertIn("waited 0.5 s", causes)
+        self.assertIn("broke off", causes)
+        self.assertIn("1.8 s old", causes)
         self.assertEqual(found.left_out, 3)
 
     def test_blocked_request(self) -> None:
@@ -76,15 +76,15 @@
         ]  # fmt: skip
         events, _ = explain.read(log)
         found = explain.explain("b1", events)
-        self.assertEqual(len(found.surroundings), 1)
-        self.assertIn("f1", str(found.surroundings[0]))
+        self.assertEqual(len(found.context), 1)
+        self.assertIn("f1", str(found.context[0]))
         self.assertIn("not sent again", " ".join(found.causes))
 
     def test_unknown_request(self) -> None:
         events, _ = explain.read(LOG)
         self.assertIsNone(explain.explain("nobody", events))
 
-    def test_refusal_and_repeat(self) -> None:
+    def test_refusal_and_retry(self) -> None:
         log = [
             line(1.0, "e", "refused", id="x", status=401, why="no such key"),
             line(
@@ -101,13 +101,13 @@
         events, _ = explain.read(log)
         (cause,) = explain.explain("x", events).causes
         self.assertIn("401", cause)
-        words = " ".join(explain.explain("y", events).causes)
-        self.assertIn("sent to 2 servers", words)
-        self.assertIn("the caller left", words)
+        causes = " ".join(explain.explain("y", events).causes)
+        self.assertIn("sent to 2 servers", causes)
+        self.assertIn("the caller left", causes)
 
 
 class LossesTest(unittest.TestCase):
-    """Requests not served, by kind and cause."""
+    """Requests that were not served, by route and cause."""
 
     def test_by_cause(self) -> None:
         served = {"ended": "done", "status": 200, "whole": True}
@@ -127,12 +127,12 @@
             line(2.0, "e", "request", id=f"x{number}", route="r", **fields)
             for number, fields in enumerate(lost)
         ]
-        asked, losses = explain.summarize(explain.read(log)[0])
-        self.assertEqual(asked, {"r": 9})
+        total, losses = explain.summarize(explain.read(log)[0])
+        self.assertEqual(total, {"r": 9})
         self.assertEqual({item.count for item in losses}, {1})
         self.assertEqual(len(losses), len(lost))
 
-    def test_most_first(self) -> None:
+    def test_sorted_by_count(self) -> None:
         log = [
             line(1.0, "e", "request", id=f"{n}", route="r", status=status)
             for n, status in enumerate((500, 502, 502))
@@ -142,7 +142,7 @@
 
 
 class ToolTest(unittest.TestCase):
-    """The commands."""
+    """The commands explain, losses and platform."""
 
     def run_tool(self, *arguments: str) -> tuple[int, str]:
         out = io.StringIO()
@@ -156,7 +156,7 @@
             path.write_text("\n".join(LOG))
             status, text = self.run_tool("explain", "a1", str(path))
             self.assertEqual(status, 0)
-            self.assertIn("In words:", text)
+            self.assertIn("Causes:", text)
             status, text = self.run_tool("explain", "none", str(path))
             self.assertEqual(status, 1)
             self.assertIn("all instances", text)
