--- a/src/jasminerelay/checking.py
+++ b/src/jasminerelay/checking.py
@@ -1,4 +1,4 @@
-"""Checks what operators write against the schema, all faults at once."""
+"""Validates settings files and manifests against their JSON Schemas."""
 
 import json
 import pathlib
@@ -14,31 +14,31 @@
     import jsonschema
 
 _SCHEMA_DIR = pathlib.Path(__file__).parent / "schema"
-_SHOWN = 60
+_MAX_VALUE_CHARS = 60
 
 T = TypeVar("T")
 
 
 def load_schema(name: str) -> dict[str, Any]:
-    """Returns the JSON Schema of the given name."""
+    """Returns the JSON Schema with the given name."""
     return json.loads((_SCHEMA_DIR / f"{name}.json").read_text())
 
 
 def parse_toml(text: str, source: str) -> Result[dict[str, Any], list[Problem]]:
-    """Parses TOML; a syntax error becomes a problem that names its line."""
+    """Parses TOML; a syntax error becomes a problem with its line number."""
     try:
         return Ok(tomllib.loads(text))
     except (tomllib.TOMLDecodeError, RecursionError) as exc:
         problem = Problem(
-            source, "(file)", str(exc), "TOML", "mend the syntax there"
+            source, "(file)", str(exc), "TOML", "correct the syntax there"
         )
         return Err([problem])
 
 
 def check(raw: Any, schema_name: str, source: str) -> list[Problem]:
-    """Returns every fault of a parsed file, in the order of its keys."""
-    # Imported here, since it takes a third of a daemon's time to start and the
-    # platform's settings are checked without it.
+    """Returns all schema violations of a parsed file, sorted by key."""
+    # Imported lazily: the import takes a third of a daemon's start time, and
+    # the platform's settings are validated without jsonschema.
     import jsonschema
 
     validator = jsonschema.Draft202012Validator(load_schema(schema_name))
@@ -49,10 +49,10 @@
 
 
 def convert(raw: Any, kind: type[T]) -> T | None:
-    """Returns the parsed file as data classes, if its types allow it.
+    """Converts a parsed file to data classes; None if a type is wrong.
 
-    Values out of range do not stop it, so that references can be checked in
-    the same run and all faults be reported at once.
+    Values out of range are accepted, so that references can be checked in the
+    same run and all errors are reported together.
     """
     try:
         return msgspec.convert(raw, kind)
@@ -64,9 +64,9 @@
     key = fault.json_path.removeprefix("$").lstrip(".") or "(file)"
     found = json.dumps(fault.instance, default=str)
     if _is_secret(key):
-        found = "a value that is not shown"
-    if len(found) > _SHOWN:
-        found = found[:_SHOWN] + "..."
+        found = "a secret (not shown)"
+    if len(found) > _MAX_VALUE_CHARS:
+        found = found[:_MAX_VALUE_CHARS] + "..."
     match fault.validator:
         case "required":
             missing = [
@@ -83,13 +83,13 @@
             )
         case "additionalProperties":
             known = fault.schema.get("properties", {})
-            extra = [name for name in fault.instance if name not in known]
+            unknown = [name for name in fault.instance if name not in known]
             return Problem(
                 source,
                 key,
-                "unknown key " + ", ".join(extra),
+                "unknown key " + ", ".join(unknown),
                 "only " + ", ".join(known),
-                "remove it or mend its spelling",
+                "remove it or correct its spelling",
             )
         case _:
             expected = f"{fault.validator} {json.dumps(fault.validator_value)}"
--- a/src/jasminerelay/manifest.py
+++ b/src/jasminerelay/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: what operators declare, checked whole and indexed."""
+"""Parsing, validation and look-ups of the operators' manifest."""
 
 import collections
 import dataclasses
@@ -23,21 +23,21 @@
 from jasminerelay.settings import split_address
 
 CELL_SIZE = 8
-"""Most backend servers under one broker.
+"""Most backend servers in one cell.
 
-The work of a broker grows with the servers and the waiting requests of its
-cell, so a bounded cell keeps it within a daemon's budget at any pool size.
+The load of a broker grows with the servers and the queued requests of its
+cell. Bounded cells keep it within the CPU budget of a daemon at any pool size.
 """
 
 
 @dataclasses.dataclass(frozen=True)
 class Cell:
-    """A part of a pool or service that one broker grants.
+    """A part of a pool or service for which one broker grants permits.
 
     Attributes:
         name: Pool or service name and index, such as "chat/0".
-        servers: Backend servers that may get work.
-        max_waiting: Most requests that wait for a permit.
+        servers: Backend servers that requests may be sent to.
+        max_waiting: Maximum number of requests waiting for a permit.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
     @property
     def slots(self) -> int:
-        """Requests that the cell works on at once."""
+        """Number of requests that the cell's servers can run concurrently."""
         return sum(server.slots for server in self.servers)
 
 
@@ -61,7 +61,7 @@
 
 
 def parse(text: str, source: str) -> Result["Directory", list[Problem]]:
-    """Returns the indexed manifest, or every fault of the text at once."""
+    """Parses and validates a manifest; on failure returns all its errors."""
     parsed = checking.parse_toml(text, source)
     if isinstance(parsed, Err):
         return parsed
@@ -74,7 +74,7 @@
 
 
 class Directory:
-    """A checked manifest with the look-ups that serving a request needs."""
+    """A validated manifest, indexed for the look-ups of request handling."""
 
     def __init__(self, manifest: Manifest):
         self.manifest = manifest
@@ -88,7 +88,7 @@
             for item in manifest.organisations
             for digest in item.key_digests
         }
-        self._assigned = {
+        self._class_names = {
             (item.organisation, item.request_type): item.class_name
             for item in manifest.assignments
         }
@@ -98,7 +98,7 @@
 
     @functools.cached_property
     def cells(self) -> dict[str, Cell]:
-        """Every cell by name, without servers that a rehearsal fails."""
+        """All cells by name, without servers that a rehearsal disables."""
         found = {}
         for group in (*self.manifest.pools, *self.manifest.services):
             for index in range(_cell_count(group)):
@@ -108,7 +108,7 @@
 
     @functools.cached_property
     def servers(self) -> dict[str, Server]:
-        """Every backend server by name."""
+        """All backend servers by name."""
         return {
             server.name: server
             for group in (*self.manifest.pools, *self.manifest.services)
@@ -116,11 +116,11 @@
         }
 
     def organisation_of(self, key: str) -> Organisation | None:
-        """Returns the organisation that has a bearer key."""
+        """Returns the organisation that a bearer key belongs to, if any."""
         return self._by_key.get(key_digest(key))
 
     def models_for(self, organisation: Organisation) -> list[str]:
-        """Returns the models that an organisation may name."""
+        """Returns the names of the models that an organisation may use."""
         return sorted(
             {
                 model
@@ -136,9 +136,10 @@
         """Returns the request type of a request.
 
         Args:
-            organisation: Who asks.
-            model: Model that the request names.
-            name: Request type that it names; empty for the model's default.
+            organisation: The caller's organisation.
+            model: Model given in the request.
+            name: Request type given in the request; empty for the model's
+                default.
 
         Raises:
             NotFoundError: if there is no such model or type.
@@ -165,8 +166,8 @@
     def class_of(
         self, organisation: Organisation, kind: RequestType
     ) -> ServiceClass:
-        """Returns the service class of an organisation's request type."""
-        assigned = self._assigned.get((organisation.name, kind.name))
+        """Returns the service class for an organisation and request type."""
+        assigned = self._class_names.get((organisation.name, kind.name))
         return self.classes[assigned or kind.class_name]
 
     def pool_of(self, model: str) -> Pool:
@@ -176,7 +177,9 @@
     def call_of(
         self, organisation: Organisation, service: str, method: str, path: str
     ) -> tuple[Service, Call]:
-        """Returns the declared call of a plain service.
+        """Returns the service and the declared call that match a request.
+
+        If several path prefixes match, the longest one wins.
 
         Raises:
             NotFoundError: if no such service or call is declared.
@@ -210,9 +213,10 @@
 
     def _cell(self, group: Pool | Service, index: int) -> Cell:
         rehearsal = self.manifest.rehearsal
-        # Every n-th server in the order of zones, so that a cell spans the
-        # zones and losing one takes a part of each cell, not a cell whole.
-        # In the order of the file the zones may repeat with the same period.
+        # Every n-th server in zone order, so that each cell spans the zones
+        # and the loss of a zone reduces every cell instead of removing a
+        # whole one. In file order, zones could repeat with the period n, and
+        # all servers of a cell could be in one zone.
         by_zone = sorted(group.servers, key=lambda item: (item.zone, item.name))
         servers = tuple(
             server
@@ -258,11 +262,13 @@
     for key, names in unique:
         counted = collections.Counter(names)
         problems += [
-            Problem(source, key, f"{name!r} twice", "each once", "rename one")
+            Problem(
+                source, key, f"{name!r} twice", "unique names", "rename one"
+            )
             for name, count in counted.items()
             if count > 1
         ]
-    problems += _dangling(manifest, source)
+    problems += _check_references(manifest, source)
     for server in servers:
         try:
             split_address(server.address)
@@ -276,7 +282,7 @@
                     "give a numeric IP address and a port up to 65535",
                 )
             )
-    problems += _leave_free_order(manifest, source)
+    problems += _check_leave_free(manifest, source)
     if sum(item.floor_share for item in manifest.classes) > 0.5:
         problems.append(
             Problem(
@@ -284,14 +290,14 @@
                 "classes.floor_share",
                 "more than 0.5 in all",
                 "at most 0.5 in all",
-                "lower the shares: above it the ranks lose their meaning",
+                "lower the shares: above 0.5 ranks no longer decide the order",
             )
         )
     return problems
 
 
-def _leave_free_order(manifest: Manifest, source: str) -> list[Problem]:
-    """Finds classes that would take what a higher rank leaves free."""
+def _check_leave_free(manifest: Manifest, source: str) -> list[Problem]:
+    """Finds classes that could use slots which a higher rank leaves free."""
     problems = []
     for item in sorted(manifest.classes, key=lambda item: item.rank):
         higher = [
@@ -299,21 +305,21 @@
             for other in manifest.classes
             if other.rank < item.rank
         ]
-        least = max(higher, default=0.0)
-        if item.leave_free < least:
+        minimum = max(higher, default=0.0)
+        if item.leave_free < minimum:
             problems.append(
                 Problem(
                     source,
                     f"classes.{item.name}.leave_free",
                     str(item.leave_free),
-                    f"at least {least}, as a higher rank leaves free",
-                    "raise it, else this class takes those slots",
+                    f"at least {minimum}, the largest value of a higher rank",
+                    "raise it; otherwise this class uses the reserved slots",
                 )
             )
     return problems
 
 
-def _dangling(manifest: Manifest, source: str) -> list[Problem]:
+def _check_references(manifest: Manifest, source: str) -> list[Problem]:
     classes = {item.name for item in manifest.classes}
     organisations = {item.name for item in manifest.organisations}
     models = {model for pool in manifest.pools for model in pool.models}
@@ -322,9 +328,15 @@
 
     def require(key: str, name: str, known: set[str]) -> None:
         if name not in known:
-            listed = ", ".join(sorted(known)[:10]) or "none declared"
+            valid = ", ".join(sorted(known)[:10]) or "none declared"
             problems.append(
-                Problem(source, key, repr(name), f"one of {listed}", "mend it")
+                Problem(
+                    source,
+                    key,
+                    repr(name),
+                    f"one of {valid}",
+                    "correct the name",
+                )
             )
 
     for kind in manifest.request_types:
--- a/src/jasminerelay/manifests.py
+++ b/src/jasminerelay/manifests.py
@@ -1,4 +1,4 @@
-"""Keeps the manifest in force: applies, polls, fetches, adopts."""
+"""Distributes the manifest: applies new versions, polls, fetches from peers."""
 
 import logging
 import random
@@ -25,21 +25,21 @@
 _log = logging.getLogger(__name__)
 
 ROW_KEY = "manifest"
-TOKENS_KEPT = 16
-APPLY_S = 5.0
-RETRY_PAUSE_S = 0.1
+MAX_TOKENS = 16
+APPLY_TIMEOUT_S = 5.0
+RETRY_DELAY_S = 0.1
 
 FetchPeer = Callable[[str, ManifestPointer], Awaitable[ManifestReply | None]]
 
 
 class _RowValue(msgspec.Struct):
-    """Content of the manifest row.
+    """Value of the manifest row.
 
     Attributes:
         digest: SHA-256 of the manifest's text.
-        tokens: Random words of the last accepting writes, newest last. A
-            write whose acknowledgement was lost finds its own word here, even
-            if another manifest was accepted on top of it since.
+        tokens: Random tokens of the last successful writes, newest last. A
+            writer whose acknowledgement was lost finds its token here, even
+            if another manifest has been accepted on top since.
     """
 
     digest: str
@@ -47,7 +47,7 @@
 
 
 class ManifestKeeper:
-    """Owns the manifest of one instance."""
+    """Keeps the manifest of one instance up to date."""
 
     def __init__(
         self,
@@ -72,51 +72,59 @@
         self._on_adopted = on_adopted
         self._instances = instances
         self._rng = rng
-        self._heard, self._heard_source = anyio.create_memory_object_stream(64)
+        self._pointer_sink, self._pointer_source = (
+            anyio.create_memory_object_stream(64)
+        )
         self._newest = ManifestReply(0, "")
         self.spread = Spread()
 
     @property
     def directory(self) -> manifest.Directory | None:
-        """The manifest in force, indexed."""
+        """The manifest in force, indexed; None if there is none yet."""
         current = self.spread.current
         return current.directory if current else None
 
     def reply(self) -> ManifestReply:
-        """Returns the newest manifest whose text is here, for a peer."""
+        """Returns the newest manifest that this instance can pass to a peer."""
         return self._newest
 
     def hear(self, pointer: ManifestPointer, address: str) -> None:
-        """Takes a peer's word of the manifest it holds."""
+        """Queues a fetch from a peer if it has a newer manifest.
+
+        Args:
+            pointer: Manifest that the peer has.
+            address: Address of the peer.
+        """
         if not self.spread.wants(pointer):
             return
         try:
-            self._heard.send_nowait((pointer, address))
+            self._pointer_sink.send_nowait((pointer, address))
         except anyio.WouldBlock:
             return
 
     async def run(self) -> None:
-        """Follows the table service and the peers until cancelled."""
+        """Polls the table service and fetches from peers until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._poll)
-            async for pointer, address in self._heard_source:
-                await self._follow_peer(pointer, address)
+            async for pointer, address in self._pointer_source:
+                await self._fetch_from_peer(pointer, address)
 
     async def apply(self, text: str, over: int | None) -> ManifestPointer:
-        """Has a manifest accepted, on top of a version.
+        """Writes a new manifest version to the store.
 
         Args:
-            text: The manifest.
-            over: Version that the operator has seen; None for the one in
-                force here.
+            text: Text of the manifest.
+            over: Version that the new one must directly follow; None for the
+                version in force on this instance.
 
         Returns:
-            The accepted manifest; the write is known to have taken effect.
+            Pointer to the accepted manifest, whose write is confirmed.
 
         Raises:
-            CheckError: if it has faults.
+            CheckError: if the manifest is invalid.
             ManifestConflictError: if another version is in force.
-            StoreError: if it is not known in time whether it was accepted.
+            StoreError: if the write is neither confirmed nor rejected within
+                APPLY_TIMEOUT_S.
         """
         parsed = await anyio.to_thread.run_sync(
             manifest.parse, text, "manifest"
@@ -127,25 +135,27 @@
         token = secrets.token_hex(16)
         expect = self.spread.pointer.version if over is None else over
         try:
-            with anyio.fail_after(APPLY_S):
-                await self._put(digest, text)
-                version = await self._accept(digest, token, expect)
+            with anyio.fail_after(APPLY_TIMEOUT_S):
+                await self._store_text(digest, text)
+                version = await self._commit_row(digest, token, expect)
         except TimeoutError:
             raise StoreError(
-                "whether the manifest was accepted is unknown",
+                "the store did not confirm in time whether it accepted the"
+                " manifest",
                 ran=RAN_UNKNOWN,
                 remedy=(
-                    "Look at 'jasminerelay manifest show' once the store is"
-                    " back, then apply again if it is not in force."
+                    "Run 'jasminerelay manifest show' once the store is"
+                    " available, and apply again if the manifest is not in"
+                    " force."
                 ),
-                retry_s=APPLY_S,
+                retry_s=APPLY_TIMEOUT_S,
             ) from None
         pointer = ManifestPointer(version, digest)
         await self._adopt(pointer, text)
         return pointer
 
     async def refresh(self) -> None:
-        """Reads the row once and follows it."""
+        """Reads the manifest row once and adopts a newer version."""
         row = await self._table.read(ROW_KEY)
         if row is None:
             return
@@ -162,15 +172,15 @@
                 await self.refresh()
             except StoreError:
                 self._counters.incr("manifest.poll_failed")
-            # The interval grows with the instances, so that the reads a
-            # second of the whole fleet stay bounded.
+            # The interval grows with the number of instances, which bounds
+            # the reads per second of the whole fleet.
             interval = max(
                 self._cfg.manifest_poll_s,
                 self._instances() / self._cfg.fleet_polls_per_s,
             )
             await anyio.sleep(interval * self._rng.uniform(0.5, 1.5))
 
-    async def _follow_peer(
+    async def _fetch_from_peer(
         self, pointer: ManifestPointer, address: str
     ) -> None:
         if not self.spread.wants(pointer):
@@ -195,13 +205,14 @@
         if manifest.digest_of(body) != pointer.digest:
             self._counters.incr("manifest.rejected")
             return
-        # Passed on before it is read: reading a large one takes a third of
-        # a second, and it goes through several instances to reach all.
+        # Published to peers before it is parsed: parsing a large manifest
+        # takes a third of a second, and this delay would add up over the
+        # instances that it passes through.
         if pointer.version > self._newest.version:
             self._newest = ManifestReply(pointer.version, body)
             self._on_verified(pointer)
-        # In a thread: a large manifest takes a quarter of a second, in which
-        # no stream would get a token.
+        # Parsed in a thread: a large manifest would block the event loop, and
+        # with it all token streams, for a quarter of a second.
         accepted = await anyio.to_thread.run_sync(read_accepted, pointer, body)
         if accepted is None or not self.spread.take(accepted):
             self._counters.incr("manifest.rejected")
@@ -210,26 +221,27 @@
         _log.info("manifest version %d is in force", pointer.version)
         self._on_adopted()
 
-    async def _put(self, digest: str, text: str) -> None:
+    async def _store_text(self, digest: str, text: str) -> None:
         while True:
             try:
                 await self._objects.put(_object_key(digest), text.encode())
                 return
             except StoreError:
-                await anyio.sleep(RETRY_PAUSE_S)
+                await anyio.sleep(RETRY_DELAY_S)
 
-    async def _accept(self, digest: str, token: str, expect: int) -> int:
-        tokens = await self._tokens(expect)
-        value = _RowValue(digest, [*tokens, token][-TOKENS_KEPT:])
+    async def _commit_row(self, digest: str, token: str, expect: int) -> int:
+        tokens = await self._read_tokens(expect)
+        value = _RowValue(digest, [*tokens, token][-MAX_TOKENS:])
         write = Write(ROW_KEY, expect, msgspec.to_builtins(value))
         while True:
             try:
                 written = (await self._table.commit([write]))[0]
             except StoreError:
-                # Perhaps only the acknowledgement was lost. The same write
-                # again either takes effect once or meets its own token.
+                # The write may have taken effect although its acknowledgement
+                # was lost. The repeated write then fails, and its token in
+                # the row shows that the first one succeeded.
                 self._counters.incr("manifest.accept_retry")
-                await anyio.sleep(RETRY_PAUSE_S)
+                await anyio.sleep(RETRY_DELAY_S)
                 continue
             if written.ok:
                 return expect + 1
@@ -238,12 +250,12 @@
                 return expect + 1
             raise ManifestConflictError(row.version if row else ABSENT)
 
-    async def _tokens(self, expect: int) -> list[str]:
+    async def _read_tokens(self, expect: int) -> list[str]:
         while True:
             try:
                 row = await self._table.read(ROW_KEY)
             except StoreError:
-                await anyio.sleep(RETRY_PAUSE_S)
+                await anyio.sleep(RETRY_DELAY_S)
                 continue
             if row is None:
                 return []
--- a/src/jasminerelay/settings.py
+++ b/src/jasminerelay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon: read, checked whole, turned into data classes."""
+"""Loading and validation of a daemon's settings."""
 
 import ipaddress
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def parse(text: str, source: str) -> Result[Settings, list[Problem]]:
-    """Returns the settings, or every fault of the text at once."""
+    """Parses and validates settings; on failure returns all their errors."""
     parsed = checking.parse_toml(text, source)
     if isinstance(parsed, Err):
         return parsed
@@ -24,12 +24,16 @@
 
 
 def load(path: pathlib.Path) -> Result[Settings, list[Problem]]:
-    """Reads and checks a settings file."""
+    """Reads, parses and validates a settings file."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as exc:
         problem = Problem(
-            str(path), "(file)", str(exc), "a readable file", "mend the path"
+            str(path),
+            "(file)",
+            str(exc),
+            "a readable file",
+            "correct the path or the permissions",
         )
         return Err([problem])
     return parse(text, str(path))
@@ -39,7 +43,7 @@
     """Splits "IP:port" into its parts.
 
     Raises:
-        ValueError: if the address has another form.
+        ValueError: if the address does not have this form.
     """
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
@@ -60,7 +64,7 @@
                 "tls",
                 "some of cert, key, ca",
                 "all three or none",
-                "give the missing paths",
+                "set the missing paths",
             )
         )
     for name in ("callers", "operators", "peers"):
@@ -85,7 +89,7 @@
                     source,
                     f"listen.{name}",
                     address,
-                    "a loopback address while there is no [tls]",
+                    "a loopback address, since [tls] is not configured",
                     "add [tls] with cert, key and ca",
                 )
             )
--- a/src/jasminerelay/spread.py
+++ b/src/jasminerelay/spread.py
@@ -1,4 +1,4 @@
-"""Which manifest an instance holds; it only ever goes forward."""
+"""The manifest version in force on an instance; it never decreases."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 from jasminerelay.errors import InvariantError
 from jasminerelay.schema.messages import ManifestPointer
 
-NO_VERSION = 0
+INITIAL_VERSION = 0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -14,10 +14,11 @@
     """An accepted manifest.
 
     Attributes:
-        version: Version of its row; rises with each accepted manifest.
-        digest: SHA-256 of its text.
-        body: Its text.
-        directory: Its indexed content.
+        version: Version of the manifest row; rises with each accepted
+            manifest.
+        digest: SHA-256 of the text.
+        body: Text of the manifest.
+        directory: Indexed content.
     """
 
     version: int
@@ -27,7 +28,7 @@
 
     @property
     def pointer(self) -> ManifestPointer:
-        """Names it in messages."""
+        """Version and digest, as sent in messages."""
         return ManifestPointer(self.version, self.digest)
 
 
@@ -39,20 +40,20 @@
 
     @property
     def pointer(self) -> ManifestPointer:
-        """Names the manifest in force; version 0 if there is none."""
+        """Version and digest of the manifest in force; version 0 if none."""
         if self.current is None:
-            return ManifestPointer(NO_VERSION, "")
+            return ManifestPointer(INITIAL_VERSION, "")
         return self.current.pointer
 
     def wants(self, pointer: ManifestPointer) -> bool:
-        """Returns whether a pointer names a newer manifest."""
+        """Returns whether a pointer refers to a newer manifest."""
         return pointer.version > self.pointer.version
 
     def adopt(self, pointer: ManifestPointer, body: str) -> bool:
-        """Takes a manifest if it is newer and its text is the one named.
+        """Adopts a manifest if it is newer and its text matches the digest.
 
         Raises:
-            InvariantError: if one version names two texts.
+            InvariantError: if one version has two digests.
         """
         self.check_digest(pointer)
         if not self.wants(pointer):
@@ -61,10 +62,10 @@
         return read is not None and self.take(read)
 
     def check_digest(self, pointer: ManifestPointer) -> None:
-        """Checks that a pointer agrees with the manifest held.
+        """Checks a pointer against the digest of the manifest in force.
 
         Raises:
-            InvariantError: if one version names two texts.
+            InvariantError: if one version has two digests.
         """
         held = self.pointer
         if pointer.version == held.version and pointer.digest != held.digest:
@@ -74,7 +75,7 @@
             )
 
     def take(self, accepted: Accepted) -> bool:
-        """Takes a manifest that was read; returns whether it is newer."""
+        """Adopts a parsed manifest if it is newer; returns whether it did."""
         if not self.wants(accepted.pointer):
             return False
         self.current = accepted
@@ -82,11 +83,11 @@
 
 
 def read_accepted(pointer: ManifestPointer, body: str) -> Accepted | None:
-    """Reads a manifest; None if its text is not the one that is named.
+    """Parses a manifest; None if it is invalid or does not match the digest.
 
-    A peer or a store may offer an old version, or a text cut short; the
-    version and the digest stop both. Large ones take a while to check, so
-    this can run in a thread.
+    A peer or the store may return a truncated text, which the digest detects,
+    or an old version, which take() rejects. Parsing a large manifest takes a
+    while; this function is safe to run in a thread.
     """
     if manifest.digest_of(body) != pointer.digest:
         return None
--- a/tests/test_manifest_force.py
+++ b/tests/test_manifest_force.py
@@ -1,4 +1,4 @@
-"""An accepted manifest is in force everywhere and never reverts."""
+"""An accepted manifest reaches all instances and is never reverted."""
 
 import re
 import time
@@ -11,18 +11,18 @@
 
 
 class ManifestCase(SystemCase):
-    """A system with a few instances and fast polls."""
+    """A system with three instances and helpers to apply manifests."""
 
     options = Options(daemons=3, max_engines=1, max_services=1)
 
     def setUp(self) -> None:
-        """Starts each test with one version everywhere."""
+        """Waits until all instances have the newest version."""
         versions = [self.version(daemon) for daemon in self.system.daemons]
         for daemon in self.system.daemons:
             wait_for(lambda d=daemon: self.version(d) == max(versions))
 
     def noted(self, note: str) -> str:
-        """Returns the manifest with another note."""
+        """Returns the manifest with a different note."""
         return re.sub(r'note = ".*"', f'note = "{note}"', self.system.manifest)
 
     def version(self, daemon: Daemon) -> int:
@@ -40,7 +40,7 @@
 
 
 class InForceTest(ManifestCase):
-    """Spread, races, losses and outages."""
+    """Distribution, concurrent writes, lost acknowledgements and outages."""
 
     def test_in_force_everywhere(self) -> None:
         version = self.system.apply(self.noted("spread"))["version"]
@@ -50,9 +50,10 @@
         print(f"in force after {time.monotonic() - started:.3f} s", end=" ")
 
     def test_racing_operators(self) -> None:
-        # Two operators apply different manifests over the same version at
-        # two instances at once. One is accepted; the other gets a conflict
-        # that names the version in force. All instances end on the same one.
+        # Two operators apply different manifests on top of the same version
+        # at the same time, through two instances. One is accepted; the other
+        # fails with a conflict that contains the version in force. All
+        # instances converge on the accepted manifest.
         for number in range(5):
             over = self.version(self.system.daemons[0])
             for daemon in self.system.daemons:
@@ -81,8 +82,8 @@
                 )
 
     def test_acknowledgement_lost(self) -> None:
-        # The accepting write takes effect and its answer is lost. The
-        # operator is told the truth: accepted, at the version it has.
+        # The write takes effect, but its acknowledgement is lost. The
+        # response still reports the manifest as accepted, with its version.
         over = self.version(self.system.daemons[1])
         self.system.fault("table", lose_acks=1)
         status, body = self.put(
@@ -92,8 +93,8 @@
         self.assertEqual((status, body["version"]), (200, over + 1))
 
     def test_store_down(self) -> None:
-        # The store is down: the operator is told that it is unknown, not
-        # that it failed. Instances keep the version they have.
+        # While the store is down, the response reports that the outcome is
+        # unknown, not that the write failed. Instances keep their version.
         over = self.version(self.system.daemons[0])
         self.system.fault("table", down=True)
         status, body = self.put(
@@ -104,8 +105,8 @@
         self.system.fault("table", down=False)
 
     def test_frozen_across_two_versions(self) -> None:
-        # An instance is frozen while two versions are accepted. When it
-        # thaws it goes to the newest and never to one in between again.
+        # An instance is frozen while two versions are accepted. After it
+        # resumes, it reaches the newest one, and its version never decreases.
         frozen = self.system.daemons[2]
         frozen.freeze()
         try:
@@ -121,8 +122,8 @@
         self.assertEqual(seen, sorted(seen))
 
     def test_fresh_instance_during_an_outage(self) -> None:
-        # Both stores are down. A fresh instance is not ready before it has a
-        # manifest; it takes it from its peers and then serves.
+        # The table service and the object store are down. A new instance
+        # fetches the manifest from its peers, becomes ready and serves.
         version = self.version(self.system.daemons[0])
         self.system.fault("table", down=True)
         self.system.fault("objects", down=True)
@@ -136,21 +137,21 @@
             self.system.fault("objects", down=False)
 
     def test_faulty_manifest(self) -> None:
-        # All faults come at once, each with its key and remedy, and nothing
-        # changes.
+        # An invalid manifest is rejected with all its errors, each with key
+        # and remedy, and the version in force stays.
         over = self.version(self.system.daemons[0])
         text = self.system.manifest.replace("rank = 1", "rank = 0", 1)
         text = text.replace('class_name = "chat"', 'class_name = "cat"', 1)
         text = text.replace("weight = 3.0", "wait = 3.0", 1)
         status, body = self.put(self.system.daemons[0], text, over)
         self.assertEqual(status, 422)
-        for word in ("rank", "wait", "remove it", "'cat'"):
-            self.assertIn(word, body["error"]["message"])
+        for expected in ("rank", "wait", "remove it", "'cat'"):
+            self.assertIn(expected, body["error"]["message"])
         self.assertEqual(self.version(self.system.daemons[0]), over)
 
     def test_rehearsal(self) -> None:
-        # A rehearsal is a manifest like any other: the servers that it fails
-        # get no work, and its end brings them back.
+        # Servers that a rehearsal marks as failed receive no requests; they
+        # are used again once a manifest without the rehearsal is applied.
         text = self.system.manifest + '\n[rehearsal]\nservers = ["model-1"]\n'
         version = self.system.apply(text)["version"]
         for daemon in self.system.daemons:
@@ -167,7 +168,7 @@
 
 
 def call_ready(daemon: Daemon) -> bool:
-    """Returns whether a fresh daemon is ready; it may not listen yet."""
+    """Returns whether a new instance is ready; it may not listen yet."""
     try:
         return call("GET", daemon.url + "/readyz")[0] == 200
     except Exception:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of everything that comes from outside, fed with anything."""
+"""Parsers of external input: valid, damaged and random data."""
 
 import pathlib
 import unittest
@@ -41,7 +41,7 @@
         cfg = settings_module.parse(SETTINGS, "s.toml").unwrap()
         self.assertEqual(cfg.coordination, "broker")
 
-    def test_every_fault_at_once_without_secrets(self) -> None:
+    def test_all_errors_reported_without_secrets(self) -> None:
         text = SETTINGS.replace('zone = "z"', "zone = 3\ncolour = 1")
         text = text.replace("127.0.0.1:2", "10.0.0.1:2")
         text = text.replace("127.0.0.1:3", "127.0.0.1:99999")
@@ -50,8 +50,8 @@
         )
         problems = settings_module.parse(text, "s.toml").unwrap_err()
         shown = "\n".join(map(str, problems))
-        for word in ("zone", "colour", "keys.peer_secret"):
-            self.assertIn(word, shown)
+        for key in ("zone", "colour", "keys.peer_secret"):
+            self.assertIn(key, shown)
         self.assertNotIn("hushhush", shown)
 
     def test_exposed_port_without_tls(self) -> None:
@@ -62,12 +62,12 @@
 
     @FUZZ
     @given(strategies.text())
-    def test_any_text(self, text: str) -> None:
+    def test_random_text(self, text: str) -> None:
         settings_module.parse(text, "s.toml")
 
     @FUZZ
     @given(strategies.data())
-    def test_any_damage(self, data) -> None:
+    def test_damaged_text(self, data) -> None:
         settings_module.parse(_damaged(SETTINGS, data), "s.toml")
 
 
@@ -81,7 +81,7 @@
             self.assertEqual(len(directory.manifest.pools[0].servers), servers)
             self.assertEqual(len(directory.organisations), 10)
 
-    def test_lower_class_may_not_take_what_a_higher_leaves(self) -> None:
+    def test_lower_rank_must_leave_as_many_slots_free(self) -> None:
         text = (EXAMPLES / "moreton-bay.toml").read_text()
         head, _, tail = text.partition('name = "run-sheet"')
         tail = tail.replace("leave_free = 0.1", "leave_free = 0.0", 1)
@@ -109,13 +109,13 @@
 
     @FUZZ
     @given(strategies.data())
-    def test_any_damage(self, data) -> None:
+    def test_damaged_text(self, data) -> None:
         text = (EXAMPLES / "teixeira.toml").read_text()
         manifest.parse(_damaged(text, data), "m.toml")
 
 
 class SpreadTest(unittest.TestCase):
-    """Offers of manifests, in any order and damaged."""
+    """Manifests received in any order, some of them damaged."""
 
     @FUZZ
     @given(
@@ -139,7 +139,7 @@
 
 
 class ResumePointTest(unittest.TestCase):
-    """Resume points and tickets as callers send them."""
+    """Resume points and return tickets sent by callers."""
 
     def setUp(self) -> None:
         self.signer = Signer(SECRET)
@@ -166,24 +166,24 @@
 
     @FUZZ
     @given(strategies.text())
-    def test_any_text(self, text: str) -> None:
+    def test_random_text(self, text: str) -> None:
         self.assertTrue(self.signer.read_point(text).is_err())
         self.assertEqual(self.signer.read_ticket(text, "o", "k", 1.0), 0.0)
 
     @FUZZ
     @given(strategies.data())
-    def test_any_damage(self, data) -> None:
+    def test_damaged_text(self, data) -> None:
         damaged = _damaged(self.text, data)
         read = self.signer.read_point(damaged)
         if read.is_ok():
-            # Only the offset is not signed.
+            # The signature covers everything except the offset.
             self.assertEqual(
                 damaged.rpartition(":")[0], self.text.rpartition(":")[0]
             )
 
 
 class EventsTest(unittest.TestCase):
-    """Server-sent events in any chunking."""
+    """Server-sent events split into chunks at any position."""
 
     @FUZZ
     @given(
@@ -204,22 +204,22 @@
 
     @FUZZ
     @given(strategies.lists(strategies.binary()))
-    def test_any_bytes(self, chunks) -> None:
+    def test_random_bytes(self, chunks) -> None:
         parser = sse.Parser()
         for chunk in chunks:
             parser.feed(chunk)
 
-    def test_endless_event(self) -> None:
+    def test_oversized_event(self) -> None:
         with self.assertRaises(ValueError):
             sse.Parser().feed(b"data: " + b"x" * (sse.MAX_EVENT_BYTES + 1))
 
 
 class PeerMessagesTest(unittest.TestCase):
-    """Messages of other instances."""
+    """Messages from other instances."""
 
     @FUZZ
     @given(strategies.binary())
-    def test_any_bytes(self, data: bytes) -> None:
+    def test_random_bytes(self, data: bytes) -> None:
         for kind in (Gossip, EntryFrame):
             with self.assertRaises(msgspec.MsgspecError):
                 msgspec.msgpack.decode(data, type=kind)
@@ -247,7 +247,7 @@
             ),
         )
     )
-    def test_any_json(self, body) -> None:
+    def test_random_json(self, body) -> None:
         raw = msgspec.json.encode(body)
         for path in (modelrequests.CHAT_PATH, modelrequests.TEXT_PATH):
             try:
@@ -262,7 +262,7 @@
 
 
 def _damaged(text: str, data) -> str:
-    """Returns the text with one part cut out and another put in."""
+    """Returns the text with a random part replaced by random text."""
     start = data.draw(strategies.integers(0, len(text)))
     end = data.draw(strategies.integers(start, min(len(text), start + 20)))
     inserted = data.draw(strategies.text(max_size=5))
