--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -1,13 +1,13 @@
 """A router for language-model traffic with service levels and priorities.
 
-The names here are the coordination parts that other programs embed; see
-docs/EMBEDDING.md for a runnable example of each.
+It exports the coordination components for use in other programs; see
+docs/EMBEDDING.md for runnable examples.
 """
 
 import importlib
 from typing import Any
 
-_HOMES = {
+_MODULES = {
     "Book": "burn",
     "Borrower": "limits",
     "Broker": "broker",
@@ -42,22 +42,22 @@
     "block_hashes": "prefix",
     "choose": "routing",
 }
-"""Module of each public name. They are loaded when first used, since a daemon
-needs few of them and starts in half the time."""
+"""Module of each public name. Modules are imported on first use: a daemon needs
+only a few of them, and lazy imports halve its start time."""
 
-__all__ = list(_HOMES)
+__all__ = list(_MODULES)
 
 __version__ = "0.1.0"
 
 
 def __getattr__(name: str) -> Any:
-    """Loads a public name."""
-    if name not in _HOMES:
+    """Imports the module of a public name on first use."""
+    if name not in _MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    module = importlib.import_module(f"jasminerelay.{_HOMES[name]}")
+    module = importlib.import_module(f"jasminerelay.{_MODULES[name]}")
     return getattr(module, name)
 
 
 def __dir__() -> list[str]:
     """Returns the public names."""
-    return [*globals(), *_HOMES]
+    return [*globals(), *_MODULES]
--- a/src/jasminerelay/burn.py
+++ b/src/jasminerelay/burn.py
@@ -1,4 +1,7 @@
-"""Service-level burn: attainment, goodput and waste by class and window."""
+"""Service-level reporting: attainment, burn rate, goodput and wasted tokens.
+
+Figures are kept for each service class and summed over sliding windows.
+"""
 
 import collections
 import dataclasses
@@ -9,9 +12,9 @@
 from jasminerelay.schema.manifest import ServiceClass
 
 BUCKET_S = 60.0
-SHORT_S = 300.0
-LONG_S = 3600.0
-HIGHEST_MS = 600_000
+SHORT_WINDOW_S = 300.0
+LONG_WINDOW_S = 3600.0
+MAX_LATENCY_MS = 600_000
 SIGNIFICANT_FIGURES = 2
 
 ENDED_COMPLETED = "completed"
@@ -25,12 +28,13 @@
     """One finished request.
 
     Attributes:
-        class_name: Its service class.
+        class_name: Service class of the request.
         ended: completed, refused, failed or unknown.
-        met: Whether it met its latency target.
-        latency_s: What the target bounds, in seconds; 0 if it never came.
-        useful_tokens: Tokens of a whole answer.
-        wasted: Tokens thrown away or computed again, by cause.
+        met: Whether the request met its latency target.
+        latency_s: Time to the first token or to the whole answer, as the
+            target is defined, in seconds; 0 if that point was not reached.
+        useful_tokens: Tokens of a complete answer.
+        wasted: Tokens discarded or computed again, by cause.
     """
 
     class_name: str
@@ -43,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Totals:
-    """Sums over a window, in a form that travels and merges.
+    """Sums over a window, serializable and mergeable.
 
     Attributes:
-        ended: Requests by how they ended.
-        met: Requests that met their target.
-        useful_tokens: Tokens of whole answers.
+        ended: Number of requests by outcome.
+        met: Number of requests that met their latency target.
+        useful_tokens: Tokens of complete answers.
         wasted: Wasted tokens by cause.
-        histogram: Latencies in milliseconds, an encoded HdrHistogram.
+        histogram: Encoded HdrHistogram of latencies in milliseconds.
     """
 
     ended: dict[str, int]
@@ -61,23 +65,26 @@
 
     @property
     def requests(self) -> int:
-        """All requests."""
+        """Number of requests of any outcome."""
         return sum(self.ended.values())
 
     @property
     def attainment(self) -> float | None:
-        """Share that met the target; None without requests."""
+        """Share of requests that met the target; None without requests."""
         return self.met / self.requests if self.requests else None
 
     @property
     def waste_share(self) -> float:
-        """Wasted tokens relative to all computed."""
+        """Share of the computed tokens that was wasted."""
         wasted = sum(self.wasted.values())
         computed = wasted + self.useful_tokens
         return wasted / computed if computed else 0.0
 
     def burn_rate(self, goal: float) -> float:
-        """Misses relative to those that the goal allows; 1 just meets it."""
+        """Returns the share of missed targets relative to the share allowed.
+
+        A rate of 1 just meets the goal.
+        """
         if self.attainment is None:
             return 0.0
         return (1 - self.attainment) / (1 - goal)
@@ -89,7 +96,7 @@
 
 
 class _Bucket:
-    """Sums of one minute and class."""
+    """Sums of one class over one minute."""
 
     def __init__(self) -> None:
         self.ended: collections.Counter[str] = collections.Counter()
@@ -105,21 +112,23 @@
         self.wasted.update(sample.wasted)
         if sample.latency_s > 0:
             milliseconds = round(sample.latency_s * 1000)
-            self.histogram.record_value(max(1, min(milliseconds, HIGHEST_MS)))
+            self.histogram.record_value(
+                max(1, min(milliseconds, MAX_LATENCY_MS))
+            )
 
 
 class Book:
-    """What one instance saw, by class, in buckets of a minute."""
+    """Sums an instance's finished requests by class in one-minute buckets."""
 
     def __init__(self) -> None:
         self._buckets: dict[tuple[str, int], _Bucket] = {}
 
     def add(self, sample: Sample, now: float) -> None:
-        """Takes a finished request."""
+        """Records a finished request."""
         index = int(now // BUCKET_S)
         key = (sample.class_name, index)
         if key not in self._buckets:
-            oldest = index - int(LONG_S // BUCKET_S)
+            oldest = index - int(LONG_WINDOW_S // BUCKET_S)
             self._buckets = {
                 other: bucket
                 for other, bucket in self._buckets.items()
@@ -129,7 +138,7 @@
         self._buckets[key].add(sample)
 
     def totals(self, window_s: float, now: float) -> dict[str, Totals]:
-        """Returns the sums of the last window by class."""
+        """Returns the sums over the last window by class."""
         oldest = int((now - window_s) // BUCKET_S)
         names = sorted({name for name, _ in self._buckets})
         return {
@@ -143,8 +152,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Row:
-    """One line of the report."""
+class ReportRow:
+    """One row of the report: a service class with both windows."""
 
     class_name: str
     rank: int
@@ -155,7 +164,7 @@
 
 
 def merge(parts: Iterable[Totals]) -> Totals:
-    """Adds up totals of several instances."""
+    """Merges the totals of several buckets or instances."""
     ended: collections.Counter[str] = collections.Counter()
     wasted: collections.Counter[str] = collections.Counter()
     histogram = _new_histogram()
@@ -172,12 +181,12 @@
 def report(
     classes: Iterable[ServiceClass],
     instances: Iterable[dict[str, dict[str, Totals]]],
-) -> list[Row]:
-    """Returns the report's lines in rank order.
+) -> list[ReportRow]:
+    """Returns the rows of the report, ordered by rank.
 
     Args:
-        classes: Classes of the manifest in force.
-        instances: For each instance, totals by window ("short", "long") and
+        classes: Service classes of the manifest in force.
+        instances: Totals of each instance by window ("short", "long") and
             class.
     """
     answers = list(instances)
@@ -192,7 +201,7 @@
             for window in ("short", "long")
         }
         rows.append(
-            Row(
+            ReportRow(
                 item.name,
                 item.rank,
                 item.goal,
@@ -218,7 +227,7 @@
 
 
 def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, HIGHEST_MS, SIGNIFICANT_FIGURES)
+    return HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_FIGURES)
 
 
 def _encode(histogram: HdrHistogram) -> str:
--- a/src/jasminerelay/burnpage.py
+++ b/src/jasminerelay/burnpage.py
@@ -6,14 +6,14 @@
 import jinja2
 import pygal
 
-from jasminerelay.burn import Row
+from jasminerelay.burn import ReportRow
 
 PERCENTILES = (50, 75, 90, 95, 99)
-_SCRIPT = re.compile(r"<script.*?</script>", re.DOTALL)
+_SCRIPT_ELEMENT = re.compile(r"<script.*?</script>", re.DOTALL)
 
 
-def row_fields(row: Row) -> dict[str, Any]:
-    """Returns a line of the report as plain values."""
+def row_fields(row: ReportRow) -> dict[str, Any]:
+    """Converts a report row to values for JSON and the page."""
     return {
         "class": row.class_name,
         "rank": row.rank,
@@ -35,13 +35,13 @@
     }
 
 
-def render(rows: list[Row], answered: int, silent: list[str]) -> str:
-    """Returns the page.
+def render(rows: list[ReportRow], answered: int, silent: list[str]) -> str:
+    """Renders the page.
 
     Args:
-        rows: Lines of the report in rank order.
+        rows: Rows of the report, ordered by rank.
         answered: Number of instances that answered.
-        silent: Names of those that did not.
+        silent: Names of the instances that did not answer.
     """
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("jasminerelay"),
@@ -52,28 +52,32 @@
         rows=[row_fields(row) for row in rows],
         answered=answered,
         silent=silent,
-        plots=[_attainment(rows), _burn_rates(rows), _latencies(rows)],
+        plots=[
+            _attainment_chart(rows),
+            _burn_rate_chart(rows),
+            _latency_chart(rows),
+        ],
     )
 
 
-def _attainment(rows: list[Row]) -> str:
-    chart = _bar("Attainment and goal")
+def _attainment_chart(rows: list[ReportRow]) -> str:
+    chart = _new_chart("Attainment and goal")
     chart.x_labels = [row.class_name for row in rows]
     chart.add("attainment", [row.long.attainment for row in rows])
     chart.add("goal", [row.goal for row in rows])
-    return _svg(chart)
+    return _render_svg(chart)
 
 
-def _burn_rates(rows: list[Row]) -> str:
-    chart = _bar("Burn rate (1 just meets the goal)")
+def _burn_rate_chart(rows: list[ReportRow]) -> str:
+    chart = _new_chart("Burn rate (1 just meets the goal)")
     chart.x_labels = [row.class_name for row in rows]
     chart.add("5 minutes", [row.short.burn_rate(row.goal) for row in rows])
     chart.add("1 hour", [row.long.burn_rate(row.goal) for row in rows])
-    return _svg(chart)
+    return _render_svg(chart)
 
 
-def _latencies(rows: list[Row]) -> str:
-    chart = _bar("Latency relative to the target")
+def _latency_chart(rows: list[ReportRow]) -> str:
+    chart = _new_chart("Latency relative to the target")
     chart.x_labels = [f"p{percent}" for percent in PERCENTILES]
     for row in rows:
         values = [
@@ -81,15 +85,15 @@
             for percent in PERCENTILES
         ]
         chart.add(row.class_name, values)
-    return _svg(chart)
+    return _render_svg(chart)
 
 
-def _bar(title: str) -> pygal.Bar:
+def _new_chart(title: str) -> pygal.Bar:
     return pygal.Bar(title=title, js=[], height=320, width=720)
 
 
-def _svg(chart: pygal.Bar) -> str:
-    # The library puts its configuration in as a script, which a page that is
-    # mailed round or kept needs as little as links to elsewhere.
+def _render_svg(chart: pygal.Bar) -> str:
+    # pygal embeds its configuration as a script. It is removed, since the page
+    # is to be mailed and archived and must not depend on scripts or links.
     text = chart.render(is_unicode=True, disable_xml_declaration=True)
-    return _SCRIPT.sub("", text)
+    return _SCRIPT_ELEMENT.sub("", text)
--- a/src/jasminerelay/cli.py
+++ b/src/jasminerelay/cli.py
@@ -12,13 +12,13 @@
 import tabulate
 
 from jasminerelay import burn, burnpage, localcommands, manifest
-from jasminerelay.burn import Row, Totals
+from jasminerelay.burn import ReportRow, Totals
 from jasminerelay.operatorclient import (
     EXIT_PARTIAL,
     EXIT_USAGE,
     CommandError,
-    Operator,
-    ask_all,
+    OperatorClient,
+    query_all,
 )
 
 USAGE = """Operates a running relay.
@@ -42,25 +42,25 @@
   --relay=URL     Operators' port of any instance [env: JASMINERELAY_RELAY].
   --token=TOKEN   Operators' token [env: JASMINERELAY_TOKEN].
   --ca=FILE       Certificate authority of the operators' port.
-  --over=VERSION  Version that the new manifest shall follow.
-  --html=FILE     Write the burn report as a page, too.
-  --json          Print JSON in place of a table.
+  --over=VERSION  Version that the new manifest must directly follow.
+  --html=FILE     Also write the burn report as an HTML page.
+  --json          Print JSON instead of text.
   -h --help       Show this text.
 
 explain reads the logs of any number of instances on the users' platform, from
-files or standard input, and shows how a request came to its end; losses counts
-the requests in them that were not served, by kind and cause; platform
-check reads a settings file of that platform, check-deploy the file by which it
-builds and starts the instances; release lets a request be sent again that is
-blocked since servers ended while they ran it (STORE is the store's IP:PORT).
+files or standard input, and shows how a request ended; losses counts the
+requests in them that were not served, by route and cause; platform check
+validates a settings file of that platform, and check-deploy the file from which
+it builds and starts the instances; release unblocks a request that is blocked
+because servers crashed while running it (STORE is the store's IP:PORT).
 
-Exit status: 0 done, 1 no answer or refused, 2 faulty command or file,
+Exit status: 0 success, 1 no answer or refused, 2 invalid command or file,
 3 another manifest was accepted first, 4 some instances did not answer.
 """
 
 
 @dataclasses.dataclass(frozen=True)
-class _BurnPart:
+class _InstanceBurn:
     instance: str
     windows: dict[str, dict[str, Totals]]
 
@@ -73,13 +73,13 @@
         print(exc, file=sys.stderr)
         return EXIT_USAGE
     try:
-        return _command(arguments)
+        return _run_command(arguments)
     except CommandError as exc:
         print(f"jasminerelay: {exc}", file=sys.stderr)
         return exc.status
 
 
-def _command(arguments: dict[str, Any]) -> int:
+def _run_command(arguments: dict[str, Any]) -> int:
     if arguments["check-deploy"]:
         return localcommands.check_deploy(arguments)
     if arguments["release"]:
@@ -92,38 +92,38 @@
         return localcommands.show_losses(arguments)
     if arguments["check"]:
         return localcommands.check(arguments)
-    operator = _operator(arguments)
+    client = _new_client(arguments)
     if arguments["apply"]:
-        return _apply(operator, arguments)
+        return _apply(client, arguments)
     if arguments["show"]:
-        return _show(operator, arguments)
+        return _show(client, arguments)
     if arguments["status"]:
-        return _status(operator, arguments)
+        return _status(client, arguments)
     if arguments["entry"]:
-        return _entry(operator, arguments)
+        return _entry(client, arguments)
     if arguments["drain"]:
-        return _drain(operator, arguments)
-    return _burn(operator, arguments)
+        return _drain(client, arguments)
+    return _burn(client, arguments)
 
 
-def _operator(arguments: dict[str, Any]) -> Operator:
+def _new_client(arguments: dict[str, Any]) -> OperatorClient:
     url = arguments["--relay"] or os.environ.get("JASMINERELAY_RELAY", "")
     token = arguments["--token"] or os.environ.get("JASMINERELAY_TOKEN", "")
     if not url or not token:
         raise CommandError(
-            "give --relay and --token, or set JASMINERELAY_RELAY and"
-            " JASMINERELAY_TOKEN",
+            "no relay or token: pass --relay and --token, or set"
+            " JASMINERELAY_RELAY and JASMINERELAY_TOKEN",
             EXIT_USAGE,
         )
-    return Operator(url, token, arguments["--ca"])
+    return OperatorClient(url, token, arguments["--ca"])
 
 
-def _apply(operator: Operator, arguments: dict[str, Any]) -> int:
+def _apply(client: OperatorClient, arguments: dict[str, Any]) -> int:
     over = arguments["--over"]
     if over is not None and not over.isdigit():
-        raise CommandError("--over takes a version, a number", EXIT_USAGE)
+        raise CommandError("--over must be a version number", EXIT_USAGE)
     headers = {} if over is None else {"if-match": over}
-    body = operator.call(
+    body = client.call(
         "POST",
         "/v1/manifest",
         localcommands.read(arguments["FILE"]).encode(),
@@ -137,8 +137,8 @@
     return 0
 
 
-def _show(operator: Operator, arguments: dict[str, Any]) -> int:
-    answer = operator.get("/v1/manifest")
+def _show(client: OperatorClient, arguments: dict[str, Any]) -> int:
+    answer = client.get("/v1/manifest")
     if arguments["--json"]:
         print(json.dumps(answer))
     else:
@@ -147,8 +147,8 @@
     return 0
 
 
-def _status(operator: Operator, arguments: dict[str, Any]) -> int:
-    states, silent = ask_all(operator, "/v1/status")
+def _status(client: OperatorClient, arguments: dict[str, Any]) -> int:
+    states, silent = query_all(client, "/v1/status")
     if arguments["--json"]:
         print(json.dumps({"instances": states, "silent": silent}))
     else:
@@ -165,35 +165,35 @@
             for state in states
         ]
         print(tabulate.tabulate(rows, [*columns, "manifest"]))
-        _print_silent(silent)
+        _print_unresponsive(silent)
     return EXIT_PARTIAL if silent else 0
 
 
-def _entry(operator: Operator, arguments: dict[str, Any]) -> int:
-    answer = operator.get("/v1/entry")
+def _entry(client: OperatorClient, arguments: dict[str, Any]) -> int:
+    answer = client.get("/v1/entry")
     if arguments["--json"]:
         print(json.dumps(answer))
     else:
         for address in answer["instances"]:
             print(address)
-        print(f"keep for {answer['ttl_s']} s")
+        print(f"valid for {answer['ttl_s']} s")
     return 0
 
 
-def _drain(operator: Operator, arguments: dict[str, Any]) -> int:
+def _drain(client: OperatorClient, arguments: dict[str, Any]) -> int:
     name = arguments["INSTANCE"]
-    for member in operator.members():
+    for member in client.members():
         if member["instance"] == name:
-            operator.call("POST", "/v1/drain", url=operator.url_of(member))
+            client.call("POST", "/v1/drain", url=client.url_of(member))
             print(f"{name} is draining")
             return 0
-    raise CommandError(f"no instance {name!r}; see 'jasminerelay status'")
+    raise CommandError(f"no instance {name!r}; run 'jasminerelay status'")
 
 
-def _burn(operator: Operator, arguments: dict[str, Any]) -> int:
-    answers, silent = ask_all(operator, "/v1/burn")
-    parts = [msgspec.convert(answer, _BurnPart) for answer in answers]
-    body = operator.get("/v1/manifest")["body"]
+def _burn(client: OperatorClient, arguments: dict[str, Any]) -> int:
+    answers, silent = query_all(client, "/v1/burn")
+    parts = [msgspec.convert(answer, _InstanceBurn) for answer in answers]
+    body = client.get("/v1/manifest")["body"]
     directory = manifest.parse(body, "manifest").unwrap()
     rows = burn.report(
         directory.manifest.classes, [part.windows for part in parts]
@@ -204,14 +204,14 @@
     else:
         print(_burn_table(rows))
         print(f"from {len(parts)} instances")
-        _print_silent(silent)
+        _print_unresponsive(silent)
     if arguments["--html"]:
         page = burnpage.render(rows, len(parts), silent)
         pathlib.Path(arguments["--html"]).write_text(page)
     return EXIT_PARTIAL if silent else 0
 
 
-def _burn_table(rows: list[Row]) -> str:
+def _burn_table(rows: list[ReportRow]) -> str:
     headers = [
         "class",
         "rank",
@@ -248,7 +248,7 @@
     return tabulate.tabulate(lines, headers, disable_numparse=True)
 
 
-def _print_silent(silent: list[str]) -> None:
+def _print_unresponsive(silent: list[str]) -> None:
     if silent:
         print("did not answer: " + ", ".join(sorted(silent)))
 
--- a/src/jasminerelay/operatorclient.py
+++ b/src/jasminerelay/operatorclient.py
@@ -1,4 +1,4 @@
-"""Calls of the command-line tool to the operators' port of instances."""
+"""HTTP client of the command-line tool for the operators' port."""
 
 import json
 import ssl
@@ -14,15 +14,15 @@
 
 
 class CommandError(Exception):
-    """A command that cannot be carried out; holds the exit status."""
+    """A command failed; carries the exit status of the tool."""
 
     def __init__(self, message: str, status: int = EXIT_FAILED):
         super().__init__(message)
         self.status = status
 
 
-class Operator:
-    """Calls the operators' port of instances."""
+class OperatorClient:
+    """Client for the operators' port of any instance."""
 
     def __init__(self, url: str, token: str, ca: str | None):
         self.url = url.rstrip("/")
@@ -39,12 +39,12 @@
         *,
         url: str | None = None,
     ) -> bytes:
-        """Makes a call; returns the body.
+        """Sends a request; returns the response body.
 
         Raises:
-            CommandError: if there is no answer or an error.
+            CommandError: if there is no response, or an error response.
         """
-        sent = {
+        request_headers = {
             "authorization": f"Bearer {self._token}",
             "content-length": str(len(body)),
             **(headers or {}),
@@ -54,7 +54,7 @@
             response = self._pool.request(
                 method,
                 base + path,
-                headers=sent,
+                headers=request_headers,
                 content=body,
                 extensions={
                     "timeout": dict.fromkeys(
@@ -77,25 +77,29 @@
         return response.content
 
     def get(self, path: str, *, url: str | None = None) -> Any:
-        """Returns a decoded answer."""
+        """Sends a GET request; returns the decoded JSON response."""
         return json.loads(self.call("GET", path, url=url))
 
     def members(self) -> list[dict[str, str]]:
-        """Returns the instances that the asked one knows."""
+        """Returns the members that the addressed instance lists."""
         return self.get("/v1/status")["members"]
 
     def url_of(self, member: dict[str, str]) -> str:
-        """Returns the operators' port of an instance."""
+        """Returns the URL of an instance's operators' port."""
         scheme = self.url.partition("://")[0]
         return f"{scheme}://{member['operators']}"
 
 
-def ask_all(operator: Operator, path: str) -> tuple[list[Any], list[str]]:
-    """Asks every known instance; returns the answers and the silent ones."""
+def query_all(client: OperatorClient, path: str) -> tuple[list[Any], list[str]]:
+    """Sends a GET request to all members.
+
+    Returns:
+        The responses, and the names of the members that did not respond.
+    """
     answers, silent = [], []
-    for member in operator.members():
+    for member in client.members():
         try:
-            answers.append(operator.get(path, url=operator.url_of(member)))
+            answers.append(client.get(path, url=client.url_of(member)))
         except CommandError:
             silent.append(member["instance"])
     return answers, silent
--- a/src/jasminerelay/operators.py
+++ b/src/jasminerelay/operators.py
@@ -1,4 +1,4 @@
-"""The operators' port: manifest, status, drain, burn."""
+"""HTTP API for operators: manifest, status, entry list, burn and drain."""
 
 import dataclasses
 import hmac
@@ -29,15 +29,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Office:
-    """What the operators' port needs of the instance.
+    """Parts of the instance that the operators' port uses.
 
     Attributes:
-        token: Bearer token of operators.
-        keeper: The manifest.
+        token: Bearer token of the operators.
+        keeper: Holds the manifest in force and applies new ones.
         status: Returns the state of the instance.
         entries: Returns the entry list.
-        drain: Starts a planned stop.
-        book: What the burn report is made of.
+        drain: Starts draining the instance.
+        book: Records of finished requests for the burn report.
         counters: Counters of the instance.
         instance: Name of the instance.
     """
@@ -52,9 +52,9 @@
     instance: str
 
 
-def application(office: Office) -> Starlette:
+def application(context: Office) -> Starlette:
     """Returns the ASGI application of the operators' port."""
-    handlers = _Handlers(office)
+    handlers = _Handlers(context)
     return Starlette(
         routes=[
             Route("/v1/manifest", handlers.show, methods=["GET"]),
@@ -64,20 +64,20 @@
             Route("/v1/burn", handlers.burn, methods=["GET"]),
             Route("/v1/drain", handlers.drain, methods=["POST"]),
         ],
-        exception_handlers={RelayError: _error},
+        exception_handlers={RelayError: _error_response},
     )
 
 
 class _Handlers:
-    """The routes of the operators' port."""
+    """Request handlers of the operators' port."""
 
-    def __init__(self, office: Office):
-        self._office = office
+    def __init__(self, context: Office):
+        self._context = context
 
     async def show(self, request: Request) -> Response:
         """Returns the manifest in force."""
-        self._check(request)
-        current = self._office.keeper.spread.current
+        self._authenticate(request)
+        current = self._context.keeper.spread.current
         if current is None:
             raise NotReadyError(
                 "no manifest yet", remedy="Apply a manifest.", retry_s=1.0
@@ -91,8 +91,8 @@
         )
 
     async def apply(self, request: Request) -> Response:
-        """Has a manifest accepted."""
-        self._check(request)
+        """Applies a manifest."""
+        self._authenticate(request)
         parts = []
         size = 0
         async for part in request.stream():
@@ -112,9 +112,9 @@
         over = request.headers.get(VERSION_HEADER)
         if over is not None and not over.isdigit():
             raise BadRequestError(
-                "If-Match is no version", remedy="Send a whole number."
+                "If-Match is not a version", remedy="Send a version number."
             )
-        pointer = await self._office.keeper.apply(
+        pointer = await self._context.keeper.apply(
             text, int(over) if over else None
         )
         return JSONResponse(
@@ -123,51 +123,51 @@
 
     async def status(self, request: Request) -> Response:
         """Returns the state of the instance."""
-        self._check(request)
-        return JSONResponse(self._office.status())
+        self._authenticate(request)
+        return JSONResponse(self._context.status())
 
     async def entry(self, request: Request) -> Response:
         """Returns the entry list."""
-        self._check(request)
-        entries = self._office.entries()
+        self._authenticate(request)
+        entries = self._context.entries()
         return JSONResponse(
             {"instances": entries.addresses, "ttl_s": entries.ttl_s}
         )
 
     async def burn(self, request: Request) -> Response:
-        """Returns this instance's part of the burn report."""
-        self._check(request)
+        """Returns this instance's totals for the burn report."""
+        self._authenticate(request)
         now = time.monotonic()
         windows = {
-            "short": self._office.book.totals(burn.SHORT_S, now),
-            "long": self._office.book.totals(burn.LONG_S, now),
+            "short": self._context.book.totals(burn.SHORT_WINDOW_S, now),
+            "long": self._context.book.totals(burn.LONG_WINDOW_S, now),
         }
-        body = {"instance": self._office.instance, "windows": windows}
+        body = {"instance": self._context.instance, "windows": windows}
         return Response(
             msgspec.json.encode(body), media_type="application/json"
         )
 
     async def drain(self, request: Request) -> Response:
-        """Starts a planned stop."""
-        self._check(request)
-        self._office.drain()
+        """Starts draining the instance."""
+        self._authenticate(request)
+        self._context.drain()
         return JSONResponse({"draining": True}, 202)
 
-    def _check(self, request: Request) -> None:
+    def _authenticate(self, request: Request) -> None:
         scheme, _, token = request.headers.get("authorization", "").partition(
             " "
         )
         valid = hmac.compare_digest(
-            token.strip().encode(), self._office.token.encode()
+            token.strip().encode(), self._context.token.encode()
         )
         if scheme.lower() != "bearer" or not valid:
-            self._office.counters.incr("operator.rejected")
+            self._context.counters.incr("operator.rejected")
             raise UnknownKeyError(
-                "not the operators' token",
+                "invalid operators' token",
                 remedy="Send the operator_token of the settings.",
             )
 
 
-async def _error(request: Request, exc: RelayError) -> Response:
+async def _error_response(request: Request, exc: RelayError) -> Response:
     del request
     return error_response(exc)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo, as the README's first command runs it."""
+"""The demo, run as in the README."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 
 
 class DemoTest(unittest.TestCase):
-    """Both users' manifests joined, every class, a planned stop."""
+    """The demos run to their end without a failed request."""
 
     def run_demo(self, module: str) -> str:
         done = subprocess.run(
@@ -31,7 +31,7 @@
             self.assertIn(name, text)
 
     def test_platform(self) -> None:
-        # Instances as processes, from their start to a planned stop.
+        # Runs instances as processes, from start to planned stop.
         self.assertIn("150 of 150 events", self.run_demo("demo.platform"))
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages that can be run or checked."""
+"""Checks of the documentation and of the module layers."""
 
 import doctest
 import json
@@ -11,7 +11,7 @@
 
 
 class DocsTest(unittest.TestCase):
-    """Examples run; links lead somewhere."""
+    """Runnable examples, links, and the lists of counters and settings."""
 
     def test_examples_run(self) -> None:
         failed, attempted = doctest.testfile(
@@ -53,9 +53,9 @@
 
 
 class LayersTest(unittest.TestCase):
-    """Decisions own no socket: they import no module that does."""
+    """Decision modules do no I/O and import no module that does."""
 
-    PURE = (
+    DECISION_MODULES = (
         "admission",
         "broker",
         "burn",
@@ -94,20 +94,27 @@
         "usage",
         "workload",
     )
-    OWNERS = ("anyio", "grpc", "httpcore", "uvicorn", "starlette", "socket")
+    IO_PACKAGES = (
+        "anyio",
+        "grpc",
+        "httpcore",
+        "uvicorn",
+        "starlette",
+        "socket",
+    )
 
-    def test_pure_modules(self) -> None:
-        for name in self.PURE:
+    def test_decision_modules_do_no_io(self) -> None:
+        for name in self.DECISION_MODULES:
             text = (ROOT / f"src/jasminerelay/{name}.py").read_text()
             imported = re.findall(r"^(?:import|from) (\S+)", text, re.M)
             roots = {item.partition(".")[0] for item in imported}
-            self.assertEqual(roots & set(self.OWNERS), set(), name)
+            self.assertEqual(roots & set(self.IO_PACKAGES), set(), name)
             own = {
                 item.split(".")[1]
                 for item in imported
                 if item.startswith("jasminerelay.") and "schema" not in item
             }
-            allowed = {*self.PURE, "errors", "settings", "checking"}
+            allowed = {*self.DECISION_MODULES, "errors", "settings", "checking"}
             self.assertLessEqual(own, allowed, name)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The smaller decision parts, each against small inputs or a plain version."""
+"""Unit tests of the smaller decision modules."""
 
 import collections
 import random
@@ -21,9 +21,9 @@
 
 
 class RendezvousTest(unittest.TestCase):
-    """Owners of keys."""
+    """Rendezvous hashing of keys to owners."""
 
-    def test_only_the_keys_of_a_lost_name_move(self) -> None:
+    def test_only_keys_of_a_removed_name_move(self) -> None:
         names = [f"n{number}" for number in range(8)]
         keys = [f"k{number}" for number in range(500)]
         before = {key: rendezvous.owner(key, names) for key in keys}
@@ -41,7 +41,7 @@
 
 
 class RoutingTest(unittest.TestCase):
-    """The backend server for a permit."""
+    """Choice of the backend server for a permit."""
 
     def candidate(self, name: str, **fields) -> Candidate:
         values = {"granted": 0, "unexplained": 0, "slowness": 1.0}
@@ -56,7 +56,7 @@
         )
         self.assertEqual(chosen.server.name, "b")
 
-    def test_warm_prefix_beats_a_little_load(self) -> None:
+    def test_cached_prefix_outweighs_small_load_difference(self) -> None:
         item = waiting("x", prefixes=(1, 2))
         warm = self.candidate("warm", granted=1, matched=2)
         self.assertEqual(
@@ -67,7 +67,7 @@
             choose(item, [hot, self.candidate("cold")]).server.name, "cold"
         )
 
-    def test_straggler_last(self) -> None:
+    def test_straggler_is_chosen_last(self) -> None:
         chosen = choose(
             waiting("x"),
             [
@@ -77,20 +77,20 @@
         )
         self.assertEqual(chosen.server.name, "fast")
 
-    def test_avoided_and_full(self) -> None:
+    def test_avoided_and_full_servers_are_not_chosen(self) -> None:
         full = self.candidate("full", granted=3, unexplained=1)
         failed = self.candidate("failed")
         item = waiting("x", avoid=("failed",))
         self.assertIsNone(choose(item, [full, failed]))
 
-    def test_goes_on_where_its_prefix_is(self) -> None:
+    def test_resumes_on_the_server_of_its_stream(self) -> None:
         item = waiting("x", resume_on="b")
         both = [self.candidate("a"), self.candidate("b", granted=3)]
         self.assertEqual(choose(item, both).server.name, "b")
 
 
 class PrefixIndexTest(unittest.TestCase):
-    """The view of the engines' caches."""
+    """Index of the prefix blocks that the engines have cached."""
 
     def test_shared_blocks(self) -> None:
         shared = "x" * BLOCK_CHARS
@@ -100,7 +100,7 @@
         self.assertNotEqual(first[1], second[1])
         self.assertEqual(block_hashes("short"), ())
 
-    def test_gap_drops_the_servers_entries(self) -> None:
+    def test_event_gap_drops_entries_of_the_server(self) -> None:
         index = PrefixIndex()
         index.event("s", 0, (1, 2), ())
         index.event("other", 0, (1,), ())
@@ -109,7 +109,7 @@
         self.assertEqual(index.matched("s", (3,)), 1)
         self.assertEqual(index.matched("other", (1,)), 1)
 
-    def test_late_event_is_ignored(self) -> None:
+    def test_outdated_event_is_ignored(self) -> None:
         index = PrefixIndex()
         index.event("s", 5, (1,), ())
         index.event("s", 4, (), (1,))
@@ -123,7 +123,7 @@
             )
         )
     )
-    def test_least_recent_go(self, added) -> None:
+    def test_least_recently_used_is_evicted(self, added) -> None:
         index = PrefixIndex(capacity=4)
         recent: list = []
         for name, block in added:
@@ -139,9 +139,9 @@
 
 
 class StragglersTest(unittest.TestCase):
-    """Servers judged against their peers."""
+    """Detection of slow and failing servers."""
 
-    def test_judged_against_peers(self) -> None:
+    def test_slower_than_peers(self) -> None:
         stragglers = Stragglers()
         for name in "abc":
             stragglers.observe(name, 0.01)
@@ -149,13 +149,13 @@
         self.assertTrue(stragglers.is_straggler("d"))
         self.assertFalse(stragglers.is_straggler("a"))
 
-    def test_common_burst_is_no_straggler(self) -> None:
+    def test_common_slowdown_is_no_straggler(self) -> None:
         stragglers = Stragglers()
         for name in "abc":
             stragglers.observe(name, 1.0)
         self.assertFalse(any(map(stragglers.is_straggler, "abc")))
 
-    def test_rests_longer_each_time(self) -> None:
+    def test_blocked_longer_after_each_failure(self) -> None:
         stragglers = Stragglers()
         stragglers.failed("a", 0.0)
         self.assertTrue(stragglers.blocked("a", 0.9))
@@ -167,9 +167,9 @@
 
 
 class EstimatorTest(unittest.TestCase):
-    """Running quantiles of answer lengths."""
+    """Estimates of answer lengths by running quantiles."""
 
-    def test_unknown_is_what_the_caller_asked(self) -> None:
+    def test_default_is_the_requested_maximum(self) -> None:
         self.assertEqual(Estimator().tokens("kind", 77), 77)
 
     def test_quantile(self) -> None:
@@ -179,7 +179,7 @@
         self.assertAlmostEqual(estimator.tokens("kind", 1000), 75, delta=1)
         self.assertEqual(estimator.tokens("kind", 10), 10)
 
-    def test_follows_a_change(self) -> None:
+    def test_adapts_to_a_change(self) -> None:
         estimator = Estimator()
         for length in [10] * 500 + [90] * 1001:
             estimator.observe("kind", length)
@@ -187,7 +187,7 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries as a share of successes."""
+    """Retry budget as a share of the successes."""
 
     def test_bounded_by_successes(self) -> None:
         budget = RetryBudget(ratio=0.1, reserve=2.0)
@@ -200,7 +200,7 @@
 
 
 class LimitTest(unittest.TestCase):
-    """Limits that hold over all instances."""
+    """Rate limits that hold over all instances together."""
 
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(
@@ -214,7 +214,7 @@
             max_size=80,
         ),
     )
-    def test_sum_over_instances(self, count, requests) -> None:
+    def test_total_use_stays_within_the_limit(self, count, requests) -> None:
         limit = Limit(100.0, 200.0)
         bucket = Bucket(limit, 0.0)
         borrowers = [Borrower(limit, count) for _ in range(count)]
@@ -234,7 +234,7 @@
         self.assertEqual(bucket.lend(30.0, 0.0), 20.0)
         self.assertAlmostEqual(bucket.retry_s(5.0), 0.5)
 
-    def test_unused_tokens_come_back(self) -> None:
+    def test_unused_tokens_are_returned(self) -> None:
         borrower = Borrower(Limit(10.0, 20.0), 1)
         borrower.lent(10.0)
         self.assertTrue(borrower.take(10.0))
@@ -243,9 +243,9 @@
 
 
 class OutcomeTest(unittest.TestCase):
-    """The life of a request."""
+    """State machine of a request's outcome."""
 
-    def test_not_run_needs_proof(self) -> None:
+    def test_not_run_requires_a_refusal(self) -> None:
         outcome = Outcome("r")
         outcome.waiting()
         outcome.dispatched()
@@ -255,7 +255,7 @@
         outcome.not_run()
         self.assertEqual(outcome.ran, "no")
 
-    def test_one_refusal_of_two_attempts_is_no_proof(self) -> None:
+    def test_one_refusal_of_two_attempts_is_not_enough(self) -> None:
         outcome = Outcome("r")
         outcome.waiting()
         outcome.dispatched()
@@ -266,14 +266,14 @@
         with self.assertRaises(InvariantError):
             outcome.not_run()
 
-    def test_may_not_repeat(self) -> None:
+    def test_unrepeatable_request_is_not_dispatched_again(self) -> None:
         outcome = Outcome("r", repeatable=False)
         outcome.waiting()
         outcome.dispatched()
         with self.assertRaises(InvariantError):
             outcome.waiting()
 
-    def test_final_stays_final(self) -> None:
+    def test_final_state_does_not_change(self) -> None:
         outcome = Outcome("r")
         outcome.waiting()
         outcome.dispatched()
@@ -283,9 +283,9 @@
             outcome.failed()
         self.assertIs(outcome.state, State.COMPLETED)
 
-    def test_no_room_after_a_failed_attempt(self) -> None:
-        # This had no legal end once, and the instance ended by its own
-        # assertion.
+    def test_refused_after_a_failed_attempt(self) -> None:
+        # A request that is refused after a failed attempt had no permitted
+        # final state once, and the violated invariant ended the instance.
         outcome = Outcome("r")
         outcome.waiting()
         outcome.dispatched()
@@ -295,9 +295,9 @@
 
 
 class EntryListTest(unittest.TestCase):
-    """Which instances a caller should use."""
+    """Order of the instances recommended to a caller."""
 
-    def test_own_zone_first_and_spread(self) -> None:
+    def test_own_zone_first_in_random_order(self) -> None:
         members = [
             Member(f"i{n}", "1", "ab"[n % 2], f"10.0.0.{n}:80", "", "", "", 1)
             for n in range(6)
@@ -312,7 +312,7 @@
 
 
 class BurnTest(unittest.TestCase):
-    """The report on service-level burn."""
+    """Service-level burn report."""
 
     def sample(self, *, met: bool, ended="completed", tokens=10, **wasted):
         return burn.Sample("chat", ended, met, 0.5, tokens, wasted)
@@ -323,8 +323,8 @@
         books[1].add(self.sample(met=False, redone=5), 1000.0)
         answers = [
             {
-                "short": book.totals(burn.SHORT_S, 1000.0),
-                "long": book.totals(burn.LONG_S, 1000.0),
+                "short": book.totals(burn.SHORT_WINDOW_S, 1000.0),
+                "long": book.totals(burn.LONG_WINDOW_S, 1000.0),
             }
             for book in books
         ]
@@ -342,10 +342,10 @@
         book.add(self.sample(met=False), 0.0)
         book.add(self.sample(met=True), 1800.0)
         self.assertEqual(
-            book.totals(burn.SHORT_S, 1800.0)["chat"].attainment, 1.0
+            book.totals(burn.SHORT_WINDOW_S, 1800.0)["chat"].attainment, 1.0
         )
         self.assertEqual(
-            book.totals(burn.LONG_S, 1800.0)["chat"].attainment, 0.5
+            book.totals(burn.LONG_WINDOW_S, 1800.0)["chat"].attainment, 0.5
         )
 
     def test_state_is_bounded(self) -> None:
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -25,7 +25,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    """Commands that need no running relay."""
+    """Commands that need no running relay, and invalid command lines."""
 
     def test_valid_manifest(self) -> None:
         status, out, _ = run("manifest", "check", EXAMPLE)
@@ -49,7 +49,7 @@
         self.assertEqual(status, 2)
         self.assertIn("JASMINERELAY_RELAY", err)
 
-    def test_silent_relay(self) -> None:
+    def test_unreachable_relay(self) -> None:
         status, _, err = run(
             "status", "--relay=http://127.0.0.1:1", "--token=x"
         )
@@ -114,7 +114,7 @@
         status, out, _ = self.command("manifest", "show")
         self.assertIn("# by the tool", out)
 
-    def test_burn_as_text_and_page(self) -> None:
+    def test_burn_as_text_page_and_json(self) -> None:
         for item in self.system.daemons:
             self.assertEqual(chat(item, "burn [len=5]")[0], 200)
         with tempfile.TemporaryDirectory() as folder:
@@ -148,8 +148,9 @@
     options = Options(daemons=2, max_engines=1, max_services=1)
 
     def test_drain_and_partial_report(self) -> None:
-        # An instance is drained and ends with 0. Another dies; the report
-        # then names it as silent and the status says that it is partial.
+        # A drained instance exits with status 0. After another one is killed,
+        # the burn report lists both as unresponsive, and the exit status says
+        # that the report is partial.
         first, second = self.system.daemons
         relay = f"--relay=http://{first.operators}"
         token = f"--token={OPERATOR_TOKEN}"
