--- a/src/jasminerelay/schema/manifest.py
+++ b/src/jasminerelay/schema/manifest.py
@@ -41,7 +41,7 @@
 @dataclass(frozen=True)
 class RequestType:
     """
-    A kind of model request; names the class it is served in.
+    A type of model request and its default service class.
     """
 
     name: str
@@ -54,7 +54,7 @@
 @dataclass(frozen=True)
 class Assignment:
     """
-    A class for one organisation's requests of one type, in place of the type's own.
+    Overrides the service class of a request type for one organisation.
     """
 
     organisation: str
@@ -94,7 +94,7 @@
 @dataclass(frozen=True)
 class Call:
     """
-    A call of a plain service.
+    A call that a plain service accepts.
     """
 
     method: Literal['GET', 'POST', 'PUT', 'PATCH', 'DELETE']
@@ -106,7 +106,7 @@
 @dataclass(frozen=True)
 class Service:
     """
-    A plain service beside the engines.
+    A plain HTTP service that is not a model engine.
     """
 
     name: str
@@ -120,7 +120,7 @@
 @dataclass(frozen=True)
 class Placement:
     """
-    What a backend server shall have loaded.
+    Model, adapter and role that a backend server is to have.
     """
 
     server: str
@@ -133,7 +133,7 @@
 @dataclass(frozen=True)
 class Rehearsal:
     """
-    What a disaster rehearsal treats as failed.
+    Zones and servers that a disaster rehearsal treats as failed.
     """
 
     zones: list[str] = field(default_factory=list)
@@ -143,7 +143,7 @@
 @dataclass(frozen=True)
 class Manifest:
     """
-    What operators declare: classes, organisations, request types, pools, services, rehearsals.
+    Configuration by the operators: service classes, organisations, request types, pools, services and rehearsals.
     """
 
     classes: list[ServiceClass]
--- a/src/jasminerelay/schema/messages.py
+++ b/src/jasminerelay/schema/messages.py
@@ -9,7 +9,7 @@
 @dataclass(frozen=True)
 class ManifestPointer:
     """
-    Names one accepted manifest.
+    Identifies an accepted manifest.
     """
 
     version: int
@@ -19,7 +19,7 @@
 @dataclass(frozen=True)
 class Member:
     """
-    What one instance says of itself, or others of it.
+    Membership entry of an instance.
     """
 
     instance: str
@@ -35,7 +35,7 @@
 @dataclass(frozen=True)
 class Notice:
     """
-    A word about a backend server, spread by gossip.
+    State of a backend server, spread by gossip.
     """
 
     server: str
@@ -46,7 +46,7 @@
 @dataclass(frozen=True)
 class Gossip:
     """
-    One datagram.
+    A membership datagram.
     """
 
     kind: str
@@ -59,7 +59,7 @@
 @dataclass(frozen=True)
 class Ask:
     """
-    An instance asks the broker of a cell for a permit.
+    Requests a permit from the broker of a cell.
     """
 
     ask_id: str
@@ -84,7 +84,7 @@
 @dataclass(frozen=True)
 class Held:
     """
-    A permit that an instance holds, told to a new broker.
+    A permit that an instance holds, reported to a new broker.
     """
 
     ask_id: str
@@ -97,7 +97,7 @@
 @dataclass(frozen=True)
 class Release:
     """
-    The end of a permit, or of an ask that is not wanted any more.
+    Returns a permit, or cancels a request for one.
     """
 
     ask_id: str
@@ -110,7 +110,7 @@
 @dataclass(frozen=True)
 class Borrow:
     """
-    An instance asks the home of an organisation's limit for tokens.
+    Requests tokens of an organisation's rate limit from its coordinator.
     """
 
     organisation: str
@@ -120,7 +120,7 @@
 @dataclass(frozen=True)
 class Loan:
     """
-    Tokens lent; fewer than asked means that the limit is reached.
+    Tokens lent; fewer than requested means that the rate limit is reached.
     """
 
     organisation: str
@@ -131,7 +131,7 @@
 @dataclass(frozen=True)
 class EntryFrame:
     """
-    From an instance to a broker.
+    A message from an instance to a broker.
     """
 
     instance: str
@@ -145,7 +145,7 @@
 @dataclass(frozen=True)
 class Grant:
     """
-    A permit to send one request to one backend server.
+    A permit to send one request to a backend server.
     """
 
     ask_id: str
@@ -156,7 +156,7 @@
 @dataclass(frozen=True)
 class Refusal:
     """
-    The final answer to an ask that gets no permit.
+    The final answer to a permit request that is not granted.
     """
 
     ask_id: str
@@ -167,7 +167,7 @@
 @dataclass(frozen=True)
 class Revoke:
     """
-    Takes a permit back for a higher rank.
+    Revokes a permit for a request of a higher rank.
     """
 
     ask_id: str
@@ -176,7 +176,7 @@
 @dataclass(frozen=True)
 class BrokerFrame:
     """
-    From a broker to an instance.
+    A message from a broker to an instance.
     """
 
     grants: list[Grant]
@@ -188,7 +188,7 @@
 @dataclass(frozen=True)
 class ManifestReply:
     """
-    A manifest as a peer holds it.
+    The newest manifest of a peer.
     """
 
     version: int
@@ -209,7 +209,7 @@
 @dataclass(frozen=True)
 class LoadReport:
     """
-    What a backend server says of its load.
+    Load reported by a backend server.
     """
 
     running: int
@@ -233,7 +233,7 @@
 @dataclass(frozen=True)
 class Snapshot:
     """
-    All that one instance knows of the platform's store.
+    An instance's copy of the platform's store.
     """
 
     configuration_version: int
@@ -249,7 +249,7 @@
 @dataclass(frozen=True)
 class Standing:
     """
-    How new an instance's knowledge is.
+    Version and age of an instance's copy of the store.
     """
 
     configuration_version: int
@@ -262,7 +262,7 @@
 @dataclass(frozen=True)
 class ServerLoad:
     """
-    What one instance has under way at a backend server.
+    An instance's in-flight requests at a backend server.
     """
 
     server: str
@@ -275,7 +275,7 @@
 @dataclass(frozen=True)
 class KindDemand:
     """
-    Work that callers bring to one instance.
+    Load from callers at one instance.
     """
 
     kind: str
@@ -287,7 +287,7 @@
 @dataclass(frozen=True)
 class LoadColumns:
     """
-    Loads of one instance, a list for each field: names of fields would be most of a datagram.
+    Loads of one instance in columns: repeated field names would fill most of a datagram.
     """
 
     servers: list[str]
@@ -300,7 +300,7 @@
 @dataclass(frozen=True)
 class DemandColumns:
     """
-    Demand at one instance, a list for each field.
+    Demand at one instance, in columns.
     """
 
     kinds: list[str]
@@ -312,7 +312,7 @@
 @dataclass(frozen=True)
 class EngineSample:
     """
-    A measure of a service's engines.
+    A latency measurement of a service's engines.
     """
 
     service: str
@@ -324,7 +324,7 @@
 @dataclass(frozen=True)
 class PlaceAsk:
     """
-    A request for which an instance asks a cell's owner for a place.
+    Requests a placement from a cell's owner.
     """
 
     number: int
@@ -346,7 +346,7 @@
 @dataclass(frozen=True)
 class RunWord:
     """
-    A request under way at a server of a cell.
+    An in-flight request at a server of a cell.
     """
 
     number: int
@@ -372,7 +372,7 @@
 @dataclass(frozen=True)
 class TokenWord:
     """
-    What one instance has seen of a server of late.
+    Recent measurements of a server by one instance.
     """
 
     server: str
@@ -384,7 +384,7 @@
 @dataclass(frozen=True)
 class PlaceWord:
     """
-    All that one instance asks a cell's owner and has under way there; what it leaves out has ended.
+    An instance's placement requests and in-flight requests at a cell, sent to its owner. In-flight requests that are not listed have ended.
     """
 
     sender: str
@@ -401,7 +401,7 @@
 @dataclass(frozen=True)
 class PlaceAnswer:
     """
-    What an owner says to an ask.
+    A cell owner's answer to a placement request.
     """
 
     number: int
@@ -418,7 +418,7 @@
 @dataclass(frozen=True)
 class OwnerWord:
     """
-    Answers of an owner to one instance.
+    A cell owner's answers to one instance.
     """
 
     sender: str
@@ -430,7 +430,7 @@
 @dataclass(frozen=True)
 class CellQueue:
     """
-    Work that lies before a new request of one kind at a cell.
+    Queueing delay for new requests of one route at a cell.
     """
 
     service: str
@@ -442,7 +442,7 @@
 @dataclass(frozen=True)
 class ServerEnds:
     """
-    Servers that have ended while they ran one request.
+    Servers that have ended while running one request.
     """
 
     fingerprint: str
@@ -454,7 +454,7 @@
 @dataclass(frozen=True)
 class CrashWord:
     """
-    What one instance knows of requests under which servers have ended.
+    Requests during which servers have ended, as recorded by one instance.
     """
 
     sender: str
@@ -464,7 +464,7 @@
 @dataclass(frozen=True)
 class NamedLimit:
     """
-    How many requests a server takes from all instances together.
+    Rate limit of a server over all instances together.
     """
 
     server: str
@@ -475,7 +475,7 @@
 @dataclass(frozen=True)
 class LimitAsk:
     """
-    An instance has requests for which only servers with a limit are left.
+    Requests grants for requests that only rate-limited servers can take.
     """
 
     server: str
@@ -486,7 +486,7 @@
 @dataclass(frozen=True)
 class LimitGrant:
     """
-    A grant to send requests to a server that has a limit.
+    Permits sending requests to a rate-limited server.
     """
 
     server: str
@@ -497,7 +497,7 @@
 @dataclass(frozen=True)
 class LimitWord:
     """
-    What one instance tells another of servers that have a limit.
+    State of rate-limited servers, exchanged between instances.
     """
 
     sender: str
@@ -509,7 +509,7 @@
 @dataclass(frozen=True)
 class UsageWindow:
     """
-    Requests that servers began for an instance in one window of true time.
+    Requests that servers began for an instance in one time window.
     """
 
     number: int
@@ -520,7 +520,7 @@
 @dataclass(frozen=True)
 class DutyWord:
     """
-    What one instance tells those that may do the duties, or one of these tells it.
+    Exchanged between instances and the candidates for the duties.
     """
 
     sender: str
@@ -534,7 +534,7 @@
 @dataclass(frozen=True)
 class PeerWord:
     """
-    One datagram between instances of a platform.
+    A datagram between instances of a platform.
     """
 
     gossip: Gossip | None
--- a/src/jasminerelay/schema/settings.py
+++ b/src/jasminerelay/schema/settings.py
@@ -32,7 +32,7 @@
 @dataclass(frozen=True)
 class Keys:
     """
-    Secrets; the same on every instance of one deployment.
+    Secrets; identical on all instances of a deployment.
     """
 
     operator_token: str
@@ -54,7 +54,7 @@
 @dataclass(frozen=True)
 class Statsd:
     """
-    Where counters go. Without a host they are only kept for the operators' port.
+    Destination of the counters. Without a host they are available on the operators' port only.
     """
 
     host: str = ''
@@ -65,7 +65,7 @@
 @dataclass(frozen=True)
 class Bounds:
     """
-    Bounds on what one caller may send or hold.
+    Limits on callers' requests and connections.
     """
 
     max_body_bytes: int = 1048576
@@ -101,7 +101,7 @@
 @dataclass(frozen=True)
 class Settings:
     """
-    Settings of one daemon, read once at start.
+    Settings of one daemon, read once at startup.
     """
 
     instance: str
