--- a/src/jasminerelay/manifests.py
+++ b/src/jasminerelay/manifests.py
@@ -25,7 +25,7 @@
 _log = logging.getLogger(__name__)
 
 ROW_KEY = "manifest"
-MAX_TOKENS = 16
+MAX_WRITE_TOKENS = 16
 APPLY_TIMEOUT_S = 5.0
 RETRY_DELAY_S = 0.1
 
@@ -231,7 +231,7 @@
 
     async def _commit_row(self, digest: str, token: str, expect: int) -> int:
         tokens = await self._read_tokens(expect)
-        value = _RowValue(digest, [*tokens, token][-MAX_TOKENS:])
+        value = _RowValue(digest, [*tokens, token][-MAX_WRITE_TOKENS:])
         write = Write(ROW_KEY, expect, msgspec.to_builtins(value))
         while True:
             try:
