--- a/src/jasminerelay/localcommands.py
+++ b/src/jasminerelay/localcommands.py
@@ -67,8 +67,8 @@
     name = arguments["FINGERPRINT"].lower()
     if len(name) != 2 * SIZE_BYTES or set(name) - set(string.hexdigits):
         raise CommandError(
-            f"{name}: not a fingerprint; expected the"
-            f" {2 * SIZE_BYTES} hexadecimal digits from the request's log line",
+            f"{name}: not a fingerprint; expected the {2 * SIZE_BYTES} digits"
+            " from the request's log line",
             EXIT_USAGE,
         )
     address = arguments["STORE"]
