--- a/src/jasminerelay/callers.py
+++ b/src/jasminerelay/callers.py
@@ -1,4 +1,4 @@
-"""The callers' port: OpenAI-shaped HTTP, plain services, the entry list."""
+"""The callers' port: OpenAI-compatible API, plain services, entry list."""
 
 import dataclasses
 import math
@@ -41,10 +41,10 @@
     ServiceRequest,
 )
 
-TYPE_HEADER = "x-request-type"
+REQUEST_TYPE_HEADER = "x-request-type"
 RESUME_HEADER = "last-event-id"
-MAX_KEY_CHARS = 200
-_SKIPPED_REPLY = {
+MAX_IDEMPOTENCY_KEY_CHARS = 200
+_DROPPED_RESPONSE_HEADERS = {
     "connection",
     "content-length",
     "date",
@@ -55,17 +55,17 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Front:
-    """What the callers' port needs of the instance.
+class FrontendContext:
+    """The dependencies of the callers' port.
 
     Attributes:
         directory: Returns the manifest in force.
         entries: Returns the entry list.
-        ready: Returns whether new callers may be sent here.
+        ready: Returns whether the instance accepts new callers.
         completions: Serves model requests.
         services: Serves calls of plain services.
-        signer: Reads resume points and return tickets.
-        replies: What replies are made with.
+        signer: Verifies and parses resume points and return tickets.
+        replies: Dependencies of the HTTP responses.
     """
 
     directory: Callable[[], Directory | None]
@@ -78,24 +78,24 @@
 
 
 class Application:
-    """The ASGI application of the callers' port."""
+    """ASGI application of the callers' port."""
 
-    def __init__(self, front: Front):
+    def __init__(self, front: FrontendContext):
         self._handlers = _Handlers(front)
-        self._others = _routes(self._handlers)
+        self._framework_app = _routes(self._handlers)
 
     async def __call__(self, scope, receive, send) -> None:
-        """Serves one request."""
+        """Serves one ASGI connection."""
         is_completion = (
             scope["type"] == "http"
             and scope["method"] == "POST"
             and scope["path"] in (CHAT_PATH, TEXT_PATH)
         )
         if not is_completion:
-            await self._others(scope, receive, send)
+            await self._framework_app(scope, receive, send)
             return
-        # Past the framework's layers, each of which costs something for each
-        # token of a stream.
+        # Model requests bypass the framework's middleware, each layer of which
+        # adds a cost per streamed token.
         request = Request(scope, receive)
         try:
             response = await self._handlers.complete(request)
@@ -129,24 +129,24 @@
 
 
 class _Handlers:
-    """The routes of the callers' port."""
+    """Request handlers of the callers' port."""
 
-    def __init__(self, front: Front):
+    def __init__(self, front: FrontendContext):
         self._front = front
 
     async def healthz(self, request: Request) -> Response:
-        """Answers while the process runs."""
+        """Returns 200 as long as the process runs (liveness probe)."""
         del request
         return JSONResponse({"ok": True})
 
     async def readyz(self, request: Request) -> Response:
-        """Answers 200 while new callers may be sent here."""
+        """Returns 200 while the instance accepts new callers, else 503."""
         del request
         ready = self._front.ready()
         return JSONResponse({"ready": ready}, 200 if ready else 503)
 
     async def entry(self, request: Request) -> Response:
-        """Says which instances to use."""
+        """Returns the instances that callers should use, best first."""
         del request
         entries = self._front.entries()
         return JSONResponse(
@@ -155,7 +155,7 @@
         )
 
     async def models(self, request: Request) -> Response:
-        """Lists the models that the caller may name."""
+        """Lists the models that the caller's organisation may use."""
         directory, organisation = self._authenticate(request)
         data = [
             {
@@ -169,18 +169,18 @@
         return JSONResponse({"object": "list", "data": data})
 
     async def complete(self, request: Request) -> Response:
-        """Serves a model request."""
+        """Serves a chat or text completion, whole or streamed."""
         directory, organisation = self._authenticate(request)
-        raw = await self._body(request)
+        raw_body = await self._read_body(request)
         path = request.url.path
-        digest = request_digest("POST", path, "", raw)
-        parsed = modelrequests.parse_request(path, raw, digest)
+        digest = request_digest("POST", path, "", raw_body)
+        parsed = modelrequests.parse_request(path, raw_body, digest)
         kind = directory.request_type(
             organisation,
             parsed.body["model"],
-            request.headers.get(TYPE_HEADER, ""),
+            request.headers.get(REQUEST_TYPE_HEADER, ""),
         )
-        waited = self._front.signer.read_ticket(
+        waited_s = self._front.signer.read_ticket(
             request.headers.get(TICKET_HEADER, ""),
             organisation.name,
             kind.name,
@@ -191,11 +191,13 @@
             kind,
             directory.class_of(organisation, kind),
             directory.pool_of(parsed.body["model"]),
-            waited,
+            waited_s,
         )
         resume = request.headers.get(RESUME_HEADER)
         if resume and parsed.stream:
-            point = self._resume_point(resume, organisation, parsed.digest)
+            point = self._verified_resume_point(
+                resume, organisation, parsed.digest
+            )
             answer = self._front.completions.resume(
                 parsed, placement, point, directory
             )
@@ -206,20 +208,20 @@
         return WholeResponse(self._front.replies, answer, parsed)
 
     async def service(self, request: Request) -> Response:
-        """Passes a call of a plain service through."""
+        """Forwards a call to a plain service."""
         directory, organisation = self._authenticate(request)
         path = "/" + request.path_params["path"]
         service, call = directory.call_of(
             organisation, request.path_params["service"], request.method, path
         )
         key = request.headers.get(IDEMPOTENCY_HEADER, "")
-        if len(key) > MAX_KEY_CHARS:
+        if len(key) > MAX_IDEMPOTENCY_KEY_CHARS:
             raise BadRequestError(
                 "Idempotency-Key is too long",
-                remedy=f"Send at most {MAX_KEY_CHARS} characters.",
+                remedy=f"Send at most {MAX_IDEMPOTENCY_KEY_CHARS} characters.",
             )
-        body = await self._body(request)
-        waited = self._front.signer.read_ticket(
+        body = await self._read_body(request)
+        waited_s = self._front.signer.read_ticket(
             request.headers.get(TICKET_HEADER, ""),
             organisation.name,
             service.name,
@@ -238,33 +240,33 @@
                     dict(request.headers),
                     body,
                     key,
-                    waited,
+                    waited_s,
                 )
             )
         headers = {
             name: value
             for name, value in reply.headers.items()
-            if name not in _SKIPPED_REPLY
+            if name not in _DROPPED_RESPONSE_HEADERS
         }
         return Response(reply.body, reply.status, headers)
 
     async def no_route(self, request: Request, exc: Exception) -> Response:
-        """Answers a path that does not exist."""
+        """Returns the error for an unknown path or method."""
         del exc
         error = NotFoundError(
             f"no route {request.method} {request.url.path}",
-            remedy="See the callers' page for the paths.",
+            remedy="See the callers' page of the documentation for the paths.",
         )
         return error_response(error)
 
     async def error(self, request: Request, exc: RelayError) -> Response:
-        """Answers with an error."""
+        """Converts a RelayError into a response."""
         del request
         self._front.replies.counters.incr(f"answer.{exc.code}")
         return error_response(exc)
 
     async def disconnected(self, request: Request, exc: Exception) -> Response:
-        """Ends a request whose caller hung up while sending it."""
+        """Handles a caller that disconnected while sending its request."""
         del request, exc
         self._front.replies.counters.incr("caller.gone_early")
         return Response(status_code=400)
@@ -272,18 +274,18 @@
     def _authenticate(self, request: Request) -> tuple[Directory, Organisation]:
         directory = self._front.directory()
         if directory is None:
-            raise NotReadyError("no manifest yet", retry_s=1.0)
+            raise NotReadyError("the instance has no manifest yet", retry_s=1.0)
         scheme, _, key = request.headers.get("authorization", "").partition(" ")
         organisation = directory.organisation_of(key.strip())
         if scheme.lower() != "bearer" or organisation is None:
-            raise UnknownKeyError("the key belongs to no organisation")
+            raise UnknownKeyError("the API key belongs to no organisation")
         return directory, organisation
 
-    async def _body(self, request: Request) -> bytes:
+    async def _read_body(self, request: Request) -> bytes:
         limit = self._front.replies.bounds.max_body_bytes
         declared = request.headers.get("content-length", "0")
         if declared.isdigit() and int(declared) > limit:
-            raise TooLargeError(f"the body is larger than {limit} bytes")
+            raise TooLargeError(f"the request body exceeds {limit} bytes")
         parts: list[bytes] = []
         size = 0
         try:
@@ -292,34 +294,34 @@
                     size += len(part)
                     if size > limit:
                         raise TooLargeError(
-                            f"the body is larger than {limit} bytes"
+                            f"the request body exceeds {limit} bytes"
                         )
                     parts.append(part)
         except TimeoutError:
             raise BadRequestError(
-                "the body did not come in time",
+                "the request body was not received within the time limit",
                 remedy="Send the body without long pauses.",
             ) from None
         return b"".join(parts)
 
-    def _resume_point(
+    def _verified_resume_point(
         self, text: str, organisation: Organisation, digest: str
     ) -> ResumePoint:
         read = self._front.signer.read_point(text)
         if read.is_err():
             raise ForbiddenError(
-                f"the resume point is not valid: {read.unwrap_err()}",
-                remedy="Send the id of the last event exactly as it came.",
+                f"the resume point is invalid: {read.unwrap_err()}",
+                remedy="Send the id of the last event exactly as received.",
             )
         point = read.unwrap()
         if point.organisation != organisation.name:
             raise ForbiddenError(
-                "the resume point is another organisation's",
-                remedy="Resume with a key of the organisation that began it.",
+                "the resume point belongs to another organisation",
+                remedy="Use a key of the organisation that sent the request.",
             )
         if point.request_digest != digest[: answers.DIGEST_CHARS]:
             raise ForbiddenError(
-                "the resume point is another request's",
-                remedy="Send the same body as the first time.",
+                "the resume point belongs to another request",
+                remedy="Send the same body as in the first request.",
             )
         return point
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -327,7 +327,7 @@
             signer.ticket,
         )
         self.progress = replies.Progress(cfg.bounds.max_requests)
-        self._front = callers.Front(
+        self._front = callers.FrontendContext(
             self._directory,
             self.entries,
             self._ready,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' port, with a stock client and with bad input."""
+"""The callers' port, with the OpenAI client and with invalid input."""
 
 import json
 import socket
@@ -20,8 +20,8 @@
 )
 
 
-class StockClientTest(SystemCase):
-    """The OpenAI client, pointed at an instance."""
+class OpenAIClientTest(SystemCase):
+    """The OpenAI client works against an instance without changes."""
 
     def setUp(self) -> None:
         self.client = openai.OpenAI(
@@ -82,9 +82,9 @@
 
 
 class BadInputTest(SystemCase):
-    """Each bad input gets an error that names its remedy."""
+    """Each invalid input gets an error that names its remedy."""
 
-    def test_bodies(self) -> None:
+    def test_invalid_bodies(self) -> None:
         url = self.system.daemons[0].url + "/v1/chat/completions"
         cases = (
             ("{", "Send a JSON object"),
@@ -110,9 +110,9 @@
         self.assertEqual(status, 413)
         self.assertEqual(answer["error"]["code"], "body_too_large")
 
-    def test_foreign_model_and_class(self) -> None:
-        # Only moreton-01 and -02 may use the drafter; a request type that
-        # belongs to another model cannot be named to get a higher class.
+    def test_forbidden_model_and_request_type(self) -> None:
+        # Only moreton-01 and -02 may use the drafter. A caller must not obtain
+        # a higher class by naming a request type of another model.
         status, _ = chat(
             self.system.daemons[0], "x", "moreton-key-05", model="drafter"
         )
@@ -136,9 +136,9 @@
         url = f"http://{self.system.daemons[0].operators}/v1/status"
         self.assertEqual(call("GET", url, token=KEY)[0], 401)
 
-    def test_body_above_the_bound_of_the_head(self) -> None:
-        # Head and body come in one write. The bound of the head must not
-        # count the body (it did once, and cut the request).
+    def test_body_larger_than_the_head_limit(self) -> None:
+        # Head and body arrive in one write. Guards against counting the body
+        # towards the limit on the head, which once cut such requests off.
         body = json.dumps(chat_body("x" * 40_000 + " [len=3]")).encode()
         head = (
             f"POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n"
@@ -153,8 +153,8 @@
         self.assertIn(b'"finish_reason":"stop"', answer)
 
     def test_large_head(self) -> None:
-        # The parser itself keeps a head of any size: one long field, and
-        # many short ones, must both be refused.
+        # The HTTP parser accepts a head of any size. One long field and many
+        # short ones must both be refused.
         cases = [{"x-long": "a" * 200_000}]
         for count in (180, 400):
             cases.append({f"x-{n}": "a" * 100 for n in range(count)})
@@ -168,7 +168,7 @@
 
 
 class OrganisationsTest(SystemCase):
-    """What one organisation may do with another's words."""
+    """Resume points are bound to their organisation and their request."""
 
     def test_resume_point_of_another_organisation(self) -> None:
         daemon = self.system.daemons[0]
@@ -180,12 +180,12 @@
     def test_forged_resume_point(self) -> None:
         daemon = self.system.daemons[0]
         seen = stream(daemon, "own [len=5]")
-        word, _, offset = seen.ids[1].rpartition(":")
+        signed_prefix, _, offset = seen.ids[1].rpartition(":")
         for forged in (
-            f"{word[:-2]}xx:{offset}",
+            f"{signed_prefix[:-2]}xx:{offset}",
             "nothing",
-            f"{word}:-1",
-            f"{word}:9999999999999",
+            f"{signed_prefix}:-1",
+            f"{signed_prefix}:9999999999999",
         ):
             headers = {"last-event-id": forged}
             answer = stream(daemon, "own [len=5]", KEY, headers)
