--- a/src/jasminerelay/backends.py
+++ b/src/jasminerelay/backends.py
@@ -1,4 +1,4 @@
-"""Talks to backend servers: engine streams, plain calls, load, events."""
+"""Clients of backend servers: streams, calls, load reports, cache events."""
 
 import dataclasses
 import enum
@@ -29,19 +29,19 @@
 
 
 class Proof(enum.Enum):
-    """What a failed attempt proves."""
+    """Whether the server may have executed a failed attempt."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
 
 
 class AttemptError(Exception):
-    """An attempt at a backend server ended without a whole answer.
+    """An attempt at a backend server ended without a complete response.
 
     Attributes:
-        proof: Whether it provably did not run.
-        leaving: Whether the server said that it is leaving.
-        rejected: The server's own answer, if it judged the request itself bad.
+        proof: Whether the attempt provably did not run.
+        leaving: Whether the response carried the header of a leaving server.
+        rejected: The response, if the server rejected the request as invalid.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
     """One frame of an engine's stream.
 
     Attributes:
-        offset: Tokens of this attempt up to and including this frame.
+        offset: Tokens of the attempt up to and including this frame.
         data: The decoded JSON object.
     """
 
@@ -76,12 +76,12 @@
     """One dispatch of a model request.
 
     Attributes:
-        id: Identity of the attempt on the server.
-        server: Where it goes.
+        id: Identifier of the attempt on the server.
+        server: Server that the request is sent to.
         path: Path of the endpoint.
         body: Request body.
-        first_s: Longest silence before the first frame.
-        between_s: Longest silence between frames.
+        first_s: Time limit for the first frame.
+        idle_timeout_s: Time limit between two frames.
     """
 
     id: str
@@ -89,11 +89,11 @@
     path: str
     body: bytes
     first_s: float
-    between_s: float
+    idle_timeout_s: float
 
 
 class Engines:
-    """Streams from model engines."""
+    """Client of the model engines; starts, resumes and cancels streams."""
 
     def __init__(self, client: Client):
         self._client = client
@@ -110,22 +110,25 @@
         return self._frames(exchange, attempt, 0)
 
     def resume(self, attempt: Attempt, offset: int) -> AsyncIterator[Chunk]:
-        """Yields the frames of a broken attempt after an offset.
+        """Yields the frames of an interrupted attempt after an offset.
 
-        Whatever goes wrong here, the attempt itself did run before.
+        Every error is raised as MAY_HAVE_RUN: a refused resume does not show
+        that the attempt, which ran before, did not run.
         """
         url = _url(attempt.server, f"/v1/streams/{attempt.id}?from={offset}")
         exchange = Exchange("GET", url, timeout_s=attempt.first_s)
-        return _as_may_have_run(self._frames(exchange, attempt, offset))
+        return _with_errors_as_may_have_run(
+            self._frames(exchange, attempt, offset)
+        )
 
     async def cancel(self, server: Server, attempt_id: str) -> None:
-        """Stops an attempt; the engine frees its slot."""
+        """Cancels an attempt, so that the engine frees its slot."""
         url = _url(server, f"/v1/streams/{attempt_id}")
         exchange = Exchange("DELETE", url, timeout_s=CANCEL_TIMEOUT_S)
         try:
             await self._client.call(exchange)
         except (NotSentError, BrokenError):
-            # The engine drops a stream that nobody resumes by itself.
+            # The engine itself discards a stream that is not resumed.
             return
 
     async def _frames(
@@ -136,17 +139,17 @@
                 if response.status != 200:
                     body = await response.aread()
                     reply = Reply(response.status, headers_of(response), body)
-                    raise _refused(reply)
+                    raise _refusal_error(reply)
                 parser = sse.Parser()
                 chunks = body_chunks(response)
                 connection = response.extensions["network_stream"]
                 try:
                     async for raw in chunks:
-                        connection.read_limit_s = attempt.between_s
+                        connection.read_limit_s = attempt.idle_timeout_s
                         for event in parser.feed(raw):
                             if event.data == DONE:
                                 return
-                            chunk = _chunk(event, attempt.id)
+                            chunk = _parse_chunk(event, attempt.id)
                             if chunk is not None and chunk.offset >= offset:
                                 yield chunk
                 finally:
@@ -155,20 +158,25 @@
             raise AttemptError(str(exc), Proof.NOT_RUN) from exc
         except (BrokenError, ValueError, msgspec.MsgspecError) as exc:
             raise AttemptError(str(exc), Proof.MAY_HAVE_RUN) from exc
-        raise AttemptError("stream ended early", Proof.MAY_HAVE_RUN)
+        raise AttemptError("the stream ended before [DONE]", Proof.MAY_HAVE_RUN)
 
 
 class Services:
-    """Calls of plain services."""
+    """Client of the servers of plain services."""
 
     def __init__(self, client: Client):
         self._client = client
 
     async def call(self, server: Server, exchange: Exchange) -> Reply:
-        """Sends a call; the path of the exchange is relative to the server.
+        """Sends a call and returns the response.
+
+        Args:
+            server: Server that the call is sent to.
+            exchange: The request; its URL is a path on the server.
 
         Raises:
-            AttemptError: if there is no answer, or a refusal before running.
+            AttemptError: if there is no complete response, or the server
+                refused the call before running it.
         """
         full = dataclasses.replace(exchange, url=_url(server, exchange.url))
         try:
@@ -178,14 +186,14 @@
         except BrokenError as exc:
             raise AttemptError(str(exc), Proof.MAY_HAVE_RUN) from exc
         if NOT_RUN_HEADER in reply.headers:
-            raise _refused(reply)
+            raise _refusal_error(reply)
         return reply
 
 
 async def read_load(
     client: Client, server: Server, timeout_s: float
 ) -> LoadReport | None:
-    """Returns a server's load report, or None without one."""
+    """Fetches a server's load report; None if that fails."""
     exchange = Exchange("GET", _url(server, "/load"), timeout_s=timeout_s)
     try:
         reply = await client.call(exchange)
@@ -194,7 +202,7 @@
         return None
 
 
-async def _as_may_have_run(
+async def _with_errors_as_may_have_run(
     frames: AsyncIterator[Chunk],
 ) -> AsyncIterator[Chunk]:
     try:
@@ -208,17 +216,17 @@
 async def read_cache_events(
     client: Client, server: Server, after: int, timeout_s: float
 ) -> list[CacheEvent]:
-    """Returns a server's cache events after a sequence number."""
+    """Fetches the cache events after a sequence number; [] on failure."""
     url = _url(server, f"/cache_events?after={after}")
     try:
         reply = await client.call(Exchange("GET", url, timeout_s=timeout_s))
-        return msgspec.json.decode(reply.body, type=_CacheEvents).events
+        return msgspec.json.decode(reply.body, type=_CacheEventsReply).events
     except (NotSentError, BrokenError, msgspec.MsgspecError):
         return []
 
 
 @dataclasses.dataclass(frozen=True)
-class _CacheEvents:
+class _CacheEventsReply:
     events: list[CacheEvent]
 
 
@@ -226,9 +234,9 @@
     return f"http://{server.address}{path}"
 
 
-def _refused(reply: Reply) -> AttemptError:
+def _refusal_error(reply: Reply) -> AttemptError:
     leaving = LEAVING_HEADER in reply.headers
-    message = f"status {reply.status}"
+    message = f"HTTP status {reply.status}"
     if NOT_RUN_HEADER in reply.headers:
         return AttemptError(message, Proof.NOT_RUN, leaving=leaving)
     if 400 <= reply.status < 500 and reply.status not in (408, 429):
@@ -236,18 +244,18 @@
     return AttemptError(message, Proof.MAY_HAVE_RUN, leaving=leaving)
 
 
-def _chunk(event: sse.Event, attempt_id: str) -> Chunk | None:
-    """Returns a frame, or None if it belongs to another attempt.
+def _parse_chunk(event: sse.Event, attempt_id: str) -> Chunk | None:
+    """Parses a frame; returns None if it belongs to another attempt.
 
-    On a connection that was cancelled and used again, frames of the earlier
-    request can still come; a caller would see a part of someone else's
-    answer. Every frame carries its attempt, so they are told apart.
+    On a connection that is reused after a cancellation, frames of the earlier
+    request can still arrive. Without this check, a caller would receive part
+    of another caller's response. Every frame carries the id of its attempt.
     """
     data = msgspec.json.decode(event.data)
     if not isinstance(data, dict):
-        raise ValueError("frame is not an object")
+        raise ValueError("the frame is not a JSON object")
     if not str(data.get("id", "")).endswith(attempt_id):
         return None
     if not event.id.isdigit():
-        raise ValueError("frame without offset")
+        raise ValueError("the frame has no numeric offset")
     return Chunk(int(event.id), data)
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -128,7 +128,7 @@
             await self._start_ports(group)
             for part in (
                 self._watchdog.run,
-                self._links.run,
+                self._broker_links.run,
                 self._brokers.run,
                 self.desk.run,
                 self._claims.run,
@@ -224,8 +224,10 @@
         self.membership = membership.Membership(
             own, cfg.timing.suspect_after_s, self._rng
         )
-        self._security = peers.Security(cfg.keys.peer_secret, cfg.tls)
-        self._gossip = peers.GossipPort(
+        self._peer_credentials = peers.PeerCredentials(
+            cfg.keys.peer_secret, cfg.tls
+        )
+        self._gossip = peers.GossipTransport(
             self.membership,
             cfg.keys.peer_secret,
             self.counters,
@@ -265,20 +267,20 @@
             cfg.timing.load_interval_s,
         )
         self._brokers.watch_with(self._broker_watch)
-        self._links = peers.Links(
-            cfg.instance, self._brokers, self._security, self.counters
+        self._broker_links = peers.BrokerLinks(
+            cfg.instance, self._brokers, self._peer_credentials, self.counters
         )
         self.desk = PermitDesk(
             self.membership.own,
             self.membership.live,
             self._directory,
-            self._links.send,
+            self._broker_links.send,
             self.counters,
             self._invariants,
             cfg.timing.permit_timeout_s,
             cfg.coordination,
         )
-        self._links.wire(self.desk, self._peer_address)
+        self._broker_links.set_handler(self.desk, self._peer_address)
 
         self._placer = Placer(
             self.membership.own,
@@ -442,11 +444,13 @@
     async def _fetch_peer(
         self, address: str, pointer: ManifestPointer
     ) -> ManifestReply | None:
-        return await peers.fetch_manifest(self._security, address, pointer)
+        return await peers.fetch_manifest(
+            self._peer_credentials, address, pointer
+        )
 
     async def _start_ports(self, group: anyio.abc.TaskGroup) -> None:
         self._peer_server = peers.PeerServer(
-            self._brokers, self._security, self._keeper.reply
+            self._brokers, self._peer_credentials, self._keeper.reply
         )
         await self._peer_server.start(self.cfg.listen.peers)
         bounds = self.cfg.bounds
--- a/src/jasminerelay/peers.py
+++ b/src/jasminerelay/peers.py
@@ -1,4 +1,4 @@
-"""Connections between instances: permit streams (gRPC) and gossip (UDP)."""
+"""Links between instances: permit streams over gRPC, gossip over UDP."""
 
 import asyncio
 import dataclasses
@@ -31,13 +31,13 @@
 _log = logging.getLogger(__name__)
 
 SERVICE = "jasminerelay.Peer"
-PERMITS = f"/{SERVICE}/Permits"
-MANIFEST = f"/{SERVICE}/Manifest"
-AUTHORIZATION = "authorization"
+PERMITS_METHOD = f"/{SERVICE}/Permits"
+MANIFEST_METHOD = f"/{SERVICE}/Manifest"
+AUTHORIZATION_KEY = "authorization"
 
 MAX_QUEUED_FRAMES = 10_000
-RECONNECT_S = 0.2
-IDLE_LINK_S = 60.0
+RECONNECT_PAUSE_S = 0.2
+LINK_IDLE_TIMEOUT_S = 60.0
 FETCH_TIMEOUT_S = 1.0
 MAX_QUEUED_DATAGRAMS = 1000
 
@@ -53,21 +53,25 @@
     return msgspec.msgpack.Decoder(kind).decode
 
 
-class Security:
-    """Keys by which instances know each other."""
+class PeerCredentials:
+    """Credentials by which instances authenticate each other.
+
+    Attributes:
+        metadata: Call metadata that carries the peer secret.
+    """
 
     def __init__(self, secret: str, tls: Tls):
-        self.metadata = ((AUTHORIZATION, secret),)
+        self.metadata = ((AUTHORIZATION_KEY, secret),)
         self._secret = secret
         self._tls = tls
 
-    def admits(self, metadata: tuple) -> bool:
-        """Returns whether a call comes from another instance."""
-        given = dict(metadata).get(AUTHORIZATION, "")
-        return hmac.compare_digest(str(given), self._secret)
+    def is_valid(self, metadata: tuple) -> bool:
+        """Returns whether the metadata of a call carries the peer secret."""
+        presented_secret = dict(metadata).get(AUTHORIZATION_KEY, "")
+        return hmac.compare_digest(str(presented_secret), self._secret)
 
     def channel(self, address: str) -> grpc.aio.Channel:
-        """Opens a channel to an instance."""
+        """Opens a gRPC channel to an instance, with TLS if configured."""
         if not self._tls.cert:
             return grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
         credentials = grpc.ssl_channel_credentials(*self._pem())
@@ -75,8 +79,8 @@
             address, credentials, options=_CHANNEL_OPTIONS
         )
 
-    def bind(self, server: grpc.aio.Server, address: str) -> int:
-        """Binds the port of a server; returns its number."""
+    def bind_port(self, server: grpc.aio.Server, address: str) -> int:
+        """Binds a gRPC server to an address; returns the port number."""
         if not self._tls.cert:
             return server.add_insecure_port(address)
         ca, key, cert = self._pem()
@@ -91,139 +95,155 @@
         return ca, key, cert
 
 
-ENDED_ERRORS = (
+STREAM_ENDED_ERRORS = (
     grpc.aio.InternalError,
     grpc.aio.UsageError,
     asyncio.InvalidStateError,
 )
-"""What the library raises for a stream that the other side has ended: the first
-while something is being sent, the others once it knows."""
+"""Errors that grpc.aio raises for a stream that the remote side has ended:
+InternalError during a send, the others for calls after the end was seen."""
 
 
 @dataclasses.dataclass
-class _Link:
+class _BrokerLink:
     frames: Any
     source: Any
     used_at: float
 
 
-class Links:
-    """Owns the streams from this instance to the brokers of others."""
+class BrokerLinks:
+    """Maintains the streams from this instance to the brokers of others."""
 
     def __init__(
         self,
-        own: str,
+        own_instance: str,
         host: BrokerHost,
-        security: Security,
+        peer_credentials: PeerCredentials,
         counters: Counters,
     ):
-        self._own = own
-        self._host = host
-        self._security = security
+        self._own_instance = own_instance
+        self._broker_host = host
+        self._credentials = peer_credentials
         self._counters = counters
-        self._links: dict[str, _Link] = {}
-        self._group: anyio.abc.TaskGroup | None = None
-        self._address: Callable[[str], str | None] = lambda name: None
-        self._desk = None
-
-    def wire(self, desk, address: Callable[[str], str | None]) -> None:
-        """Sets who takes the answers, and how an address is found."""
-        self._desk = desk
-        self._address = address
-        self._host.connect(
-            self._own, lambda frame: desk.on_frame(self._own, frame)
+        self._links_by_peer: dict[str, _BrokerLink] = {}
+        self._task_group: anyio.abc.TaskGroup | None = None
+        self._address_of: Callable[[str], str | None] = lambda name: None
+        self._permit_client = None
+
+    def set_handler(
+        self, permit_client, address: Callable[[str], str | None]
+    ) -> None:
+        """Sets the handler of broker frames and the address lookup.
+
+        Args:
+            permit_client: Handles the frames and the changes of links.
+            address: Returns the address of an instance, or None.
+        """
+        self._permit_client = permit_client
+        self._address_of = address
+        self._broker_host.connect(
+            self._own_instance,
+            lambda frame: permit_client.on_frame(self._own_instance, frame),
         )
 
     async def run(self) -> None:
-        """Serves the links until cancelled."""
+        """Runs the links until cancelled."""
         async with anyio.create_task_group() as group:
-            self._group = group
+            self._task_group = group
             await anyio.sleep_forever()
 
     def send(self, peer: str, frame: EntryFrame) -> None:
-        """Sends a frame; a lost one is made good when the link is back."""
-        if peer in (self._own, ""):
-            self._host.take(frame)
+        """Queues a frame for the broker of an instance.
+
+        A frame may be lost with its link; the permit client outgoing its full
+        state again when the link is re-established.
+        """
+        if peer in (self._own_instance, ""):
+            self._broker_host.take(frame)
             return
-        link = self._links.get(peer)
+        link = self._links_by_peer.get(peer)
         if link is None:
-            if self._group is None:
+            if self._task_group is None:
                 return
             frames, source = anyio.create_memory_object_stream(
                 MAX_QUEUED_FRAMES
             )
-            link = _Link(frames, source, time.monotonic())
-            self._links[peer] = link
-            self._group.start_soon(self._serve, peer, link)
+            link = _BrokerLink(frames, source, time.monotonic())
+            self._links_by_peer[peer] = link
+            self._task_group.start_soon(self._run_link, peer, link)
         link.used_at = time.monotonic()
         try:
             link.frames.send_nowait(frame)
         except (anyio.WouldBlock, anyio.BrokenResourceError):
             self._counters.incr("link.dropped_frames")
 
-    async def _serve(self, peer: str, link: _Link) -> None:
+    async def _run_link(self, peer: str, link: _BrokerLink) -> None:
         try:
-            while time.monotonic() - link.used_at < IDLE_LINK_S:
-                address = self._address(peer)
+            while time.monotonic() - link.used_at < LINK_IDLE_TIMEOUT_S:
+                address = self._address_of(peer)
                 if address is None:
                     break
                 try:
-                    await self._stream(peer, address, link)
+                    await self._run_stream(peer, address, link)
                 except* grpc.aio.AioRpcError:
-                    # Comes within a group, as the stream is read beside a
-                    # task that writes. Uncaught, the death of one instance
-                    # would end every other one.
+                    # An exception group, since a task group reads and writes
+                    # the stream. If it were not caught, the crash of one
+                    # instance would terminate every other one.
                     self._counters.incr("link.broken")
-                self._desk.on_link_down(peer)
-                await anyio.sleep(RECONNECT_S)
+                self._permit_client.on_link_down(peer)
+                await anyio.sleep(RECONNECT_PAUSE_S)
         finally:
-            self._links.pop(peer, None)
+            self._links_by_peer.pop(peer, None)
             link.frames.close()
             link.source.close()
 
-    async def _stream(self, peer: str, address: str, link: _Link) -> None:
-        async with self._security.channel(address) as channel:
+    async def _run_stream(
+        self, peer: str, address: str, link: _BrokerLink
+    ) -> None:
+        async with self._credentials.channel(address) as channel:
             method = channel.stream_stream(
-                PERMITS,
+                PERMITS_METHOD,
                 request_serializer=_encode,
                 response_deserializer=_decoder(BrokerFrame),
             )
-            call = method(metadata=self._security.metadata)
+            call = method(metadata=self._credentials.metadata)
             await call.wait_for_connection()
-            # What was queued for the former connection is told anew.
+            # Frames queued for the former connection are obsolete: the permit
+            # client outgoing its full state again.
             _drain(link.source)
-            self._desk.on_link_up(peer)
+            self._permit_client.on_link_up(peer)
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write, call, link)
                 try:
                     async for frame in call:
                         self._counters.incr("link.frames_in")
-                        self._desk.on_frame(peer, frame)
+                        self._permit_client.on_frame(peer, frame)
                 finally:
                     group.cancel_scope.cancel()
 
-    async def _write(self, call, link: _Link) -> None:
+    async def _write(self, call, link: _BrokerLink) -> None:
         try:
             async for frame in link.source:
                 merged = _merge([frame, *_drain(link.source)])
                 self._counters.incr("link.frames_out")
                 await call.write(merged)
-        except (grpc.aio.AioRpcError, *ENDED_ERRORS):
-            # Uncaught, the other side's end ended this instance, too.
+        except (grpc.aio.AioRpcError, *STREAM_ENDED_ERRORS):
+            # If not caught, the end of the remote stream would terminate this
+            # instance.
             call.cancel()
 
 
 class PeerServer:
-    """The gRPC port of an instance."""
+    """gRPC server for the other instances: permits and manifests."""
 
     def __init__(
         self,
         host: BrokerHost,
-        security: Security,
+        peer_credentials: PeerCredentials,
         manifest: Callable[[], ManifestReply],
     ):
-        self._host = host
-        self._security = security
+        self._broker_host = host
+        self._credentials = peer_credentials
         self._manifest = manifest
         self._server = grpc.aio.server()
         handlers = {
@@ -243,16 +263,16 @@
         )
 
     async def start(self, address: str) -> None:
-        """Starts to listen."""
-        self._security.bind(self._server, address)
+        """Binds the address and starts to serve."""
+        self._credentials.bind_port(self._server, address)
         await self._server.start()
 
     async def stop(self) -> None:
-        """Stops at once; other instances turn to another broker."""
+        """Stops without a grace period; clients switch to another broker."""
         await self._server.stop(None)
 
     async def _permits(self, requests, context) -> None:
-        await self._check(context)
+        await self._authenticate(context)
         frames, source = anyio.create_memory_object_stream(MAX_QUEUED_FRAMES)
         entry = ""
         async with frames, source, anyio.create_task_group() as group:
@@ -261,18 +281,18 @@
                 try:
                     frames.send_nowait(frame)
                 except (anyio.WouldBlock, anyio.BrokenResourceError):
-                    # A peer that does not read is gone or frozen; it tells
-                    # everything anew when it is back.
+                    # A peer that does not read has crashed or is frozen. It
+                    # outgoing its full state again when it reconnects.
                     group.cancel_scope.cancel()
 
             async def write() -> None:
                 try:
                     async for frame in source:
                         await context.write(frame)
-                except ENDED_ERRORS:
-                    # The asking side went between two frames. Its permits
-                    # are kept for a while, as after any lost link; left
-                    # uncaught, the error ended in a traceback a frame.
+                except STREAM_ENDED_ERRORS:
+                    # The client disconnected between two frames. Its permits
+                    # are kept for a while, as after any lost link. If not
+                    # caught, each further frame would log a traceback.
                     group.cancel_scope.cancel()
 
             group.start_soon(write)
@@ -280,51 +300,53 @@
                 async for frame in requests:
                     if not entry:
                         entry = frame.instance
-                        self._host.connect(entry, send)
-                    self._host.take(frame)
+                        self._broker_host.connect(entry, send)
+                    self._broker_host.take(frame)
             finally:
                 if entry:
-                    self._host.disconnect(entry, send)
+                    self._broker_host.disconnect(entry, send)
                 group.cancel_scope.cancel()
 
     async def _fetch(self, pointer: ManifestPointer, context) -> ManifestReply:
         del pointer
-        await self._check(context)
+        await self._authenticate(context)
         return self._manifest()
 
-    async def _check(self, context) -> None:
-        if self._security.admits(context.invocation_metadata()):
+    async def _authenticate(self, context) -> None:
+        if self._credentials.is_valid(context.invocation_metadata()):
             return
         try:
             await context.abort(
                 grpc.StatusCode.UNAUTHENTICATED,
-                "send the peer secret of the settings",
+                "send the peer secret of the settings as authorization",
             )
-        except ENDED_ERRORS as exc:
-            # Nobody is left to be told, and the call must still not go on.
+        except STREAM_ENDED_ERRORS as exc:
+            # The client has disconnected; the call must not continue.
             raise asyncio.CancelledError from exc
 
 
 async def fetch_manifest(
-    security: Security, address: str, pointer: ManifestPointer
+    peer_credentials: PeerCredentials, address: str, pointer: ManifestPointer
 ) -> ManifestReply | None:
-    """Asks an instance for the manifest it holds; None without an answer."""
-    async with security.channel(address) as channel:
+    """Fetches the manifest that an instance holds; None if that fails."""
+    async with peer_credentials.channel(address) as channel:
         method = channel.unary_unary(
-            MANIFEST,
+            MANIFEST_METHOD,
             request_serializer=_encode,
             response_deserializer=_decoder(ManifestReply),
         )
         try:
             return await method(
-                pointer, metadata=security.metadata, timeout=FETCH_TIMEOUT_S
+                pointer,
+                metadata=peer_credentials.metadata,
+                timeout=FETCH_TIMEOUT_S,
             )
         except grpc.aio.AioRpcError:
             return None
 
 
-class GossipPort:
-    """Owns the UDP socket; every datagram is signed with the peer secret."""
+class GossipTransport:
+    """Sends and receives gossip; signs all datagrams with the peer secret."""
 
     def __init__(
         self,
@@ -345,7 +367,7 @@
         self._decode = msgspec.msgpack.Decoder(Gossip).decode
 
     async def run(self, address: str, interval_s: float) -> None:
-        """Probes and answers until cancelled."""
+        """Probes members and answers datagrams until cancelled."""
         host, port = split_address(address)
         async with (
             await anyio.create_udp_socket(
@@ -358,17 +380,17 @@
             async for data, _ in socket:
                 self._receive(data)
 
-    def send(self, sends: list[Send]) -> None:
-        """Queues datagrams; a lost one is made good by later probes."""
-        for item in sends:
+    def send(self, outgoing: list[Send]) -> None:
+        """Queues datagrams; later probes repeat the content of lost ones."""
+        for item in outgoing:
             try:
                 self._outbox.send_nowait(item)
             except anyio.WouldBlock:
                 self._counters.incr("gossip.dropped")
 
     async def _write(self, socket: anyio.abc.UDPSocket) -> None:
-        # Only this task writes: a socket refuses two writers at once, and
-        # probes, answers and news may fall together.
+        # Only this task writes: the socket rejects concurrent writers, and
+        # probes, replies and notices may be due at the same time.
         async for item in self._outbox_source:
             data = self._signer.sign(_encode(item.gossip))
             host, port = split_address(item.address)
--- a/tests/test_security.py
+++ b/tests/test_security.py
@@ -1,4 +1,4 @@
-"""Who may speak to instances and to the operators' port."""
+"""Authentication between instances and on the operators' port."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 import trustme
 
 from jasminerelay import cli
-from jasminerelay.peers import MANIFEST, Security, fetch_manifest
+from jasminerelay.peers import MANIFEST_METHOD, PeerCredentials, fetch_manifest
 from jasminerelay.schema.messages import ManifestPointer
 from jasminerelay.schema.settings import Tls
 from standins.launcher import (
@@ -27,35 +27,35 @@
 )
 from tests.support import KEY, SystemCase, chat
 
-ANY = ManifestPointer(1, "")
+ANY_POINTER = ManifestPointer(1, "")
 
 
-async def ask_peer(address: str, secret: str, tls: Tls | None = None):
-    """Asks an instance for its manifest as a peer with a secret would."""
-    security = Security(secret, tls or Tls())
-    return await fetch_manifest(security, address, ANY)
+async def fetch_as_peer(address: str, secret: str, tls: Tls | None = None):
+    """Fetches an instance's manifest as a peer with the given secret."""
+    peer_credentials = PeerCredentials(secret, tls or Tls())
+    return await fetch_manifest(peer_credentials, address, ANY_POINTER)
 
 
 class PeerSecretTest(SystemCase):
-    """Without TLS, on loopback."""
+    """The peer secret is required, here without TLS on loopback."""
 
     options = Options(daemons=2, max_engines=1, max_services=1)
 
-    def test_secret_opens_and_a_callers_key_does_not(self) -> None:
+    def test_only_the_peer_secret_is_accepted(self) -> None:
         address = self.system.daemons[0].peers
-        self.assertIsNotNone(asyncio.run(ask_peer(address, PEER_SECRET)))
+        self.assertIsNotNone(asyncio.run(fetch_as_peer(address, PEER_SECRET)))
         for wrong in (KEY, OPERATOR_TOKEN, ""):
-            self.assertIsNone(asyncio.run(ask_peer(address, wrong)))
+            self.assertIsNone(asyncio.run(fetch_as_peer(address, wrong)))
 
-    def test_refusal_is_typed(self) -> None:
+    def test_wrong_credentials_give_unauthenticated(self) -> None:
         async def ask() -> grpc.StatusCode:
             address = self.system.daemons[0].peers
             async with grpc.aio.insecure_channel(address) as channel:
                 method = channel.unary_unary(
-                    MANIFEST, request_serializer=msgspec.msgpack.encode
+                    MANIFEST_METHOD, request_serializer=msgspec.msgpack.encode
                 )
                 try:
-                    await method(ANY)
+                    await method(ANY_POINTER)
                 except grpc.aio.AioRpcError as exc:
                     return exc.code()
             return grpc.StatusCode.OK
@@ -75,7 +75,7 @@
             )
         )
 
-    def test_operators_port(self) -> None:
+    def test_operators_port_refuses_other_credentials(self) -> None:
         base = f"http://{self.system.daemons[0].operators}"
         for method, path in (
             ("GET", "/v1/status"),
@@ -90,11 +90,12 @@
 
 
 class TlsTest(unittest.TestCase):
-    """Keys and certificates from the settings."""
+    """Instances and operators use the certificates of the settings."""
 
     def test_instances_and_operators_over_tls(self) -> None:
-        # All instances and the tool use certificates of one authority. A
-        # peer without a certificate of it gets nothing, whatever its secret.
+        # All instances and the operators' run_tool have certificates of one
+        # authority. A peer without such a certificate is refused, even with
+        # the right secret.
         authority = trustme.CA()
         issued = authority.issue_cert("127.0.0.1")
         with tempfile.TemporaryDirectory() as folder:
@@ -116,24 +117,28 @@
         for index in range(2):
             system.start_daemon(index)
         first, second = system.daemons
-        wait_for(lambda: self.tool(first, paths, "entry") == 0)
+        wait_for(lambda: self.run_tool(first, paths, "entry") == 0)
         manifest = pathlib.Path(paths["ca"]).parent / "manifest.toml"
         manifest.write_text(system.manifest)
-        applied = self.tool(first, paths, "manifest", "apply", str(manifest))
+        applied = self.run_tool(
+            first, paths, "manifest", "apply", str(manifest)
+        )
         self.assertEqual(applied, 0)
         for daemon in system.daemons:
             wait_for(lambda d=daemon: is_ready(d))
             self.assertEqual(chat(daemon, "over tls [len=3]")[0], 200)
         tls = Tls(**paths)
-        known = asyncio.run(ask_peer(second.peers, PEER_SECRET, tls))
-        self.assertIsNotNone(known)
-        self.assertIsNone(asyncio.run(ask_peer(second.peers, PEER_SECRET)))
+        manifest_reply = asyncio.run(
+            fetch_as_peer(second.peers, PEER_SECRET, tls)
+        )
+        self.assertIsNotNone(manifest_reply)
+        self.assertIsNone(asyncio.run(fetch_as_peer(second.peers, PEER_SECRET)))
 
-    def tool(self, daemon, paths: dict[str, str], *arguments: str) -> int:
-        silence = io.StringIO()
+    def run_tool(self, daemon, paths: dict[str, str], *arguments: str) -> int:
+        discarded_output = io.StringIO()
         with (
-            contextlib.redirect_stdout(silence),
-            contextlib.redirect_stderr(silence),
+            contextlib.redirect_stdout(discarded_output),
+            contextlib.redirect_stderr(discarded_output),
         ):
             return cli.main(
                 [
