--- a/src/jasminerelay/backends.py
+++ b/src/jasminerelay/backends.py
@@ -16,7 +16,7 @@
     NotSentError,
     Reply,
     body_chunks,
-    headers_of,
+    response_headers,
 )
 from jasminerelay.schema.manifest import Server
 from jasminerelay.schema.messages import CacheEvent, LoadReport
@@ -138,7 +138,9 @@
             async with self._client.stream(exchange) as response:
                 if response.status != 200:
                     body = await response.aread()
-                    reply = Reply(response.status, headers_of(response), body)
+                    reply = Reply(
+                        response.status, response_headers(response), body
+                    )
                     raise _refusal_error(reply)
                 parser = sse.Parser()
                 chunks = body_chunks(response)
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -1,6 +1,6 @@
-"""The daemon: wires all parts of one instance and runs them.
+"""The daemon: creates the components of one instance and runs them.
 
-This is the composition root; no other module constructs parts that own
+This is the composition root: no other module creates components that own
 sockets.
 """
 
@@ -57,7 +57,7 @@
 )
 from jasminerelay.schema.settings import Settings
 from jasminerelay.servicecalls import ServiceCalls
-from jasminerelay.store import InstanceList, Objects, Table
+from jasminerelay.store import InstanceListClient, Objects, Table
 from jasminerelay.watchdog import Watchdog
 
 _log = logging.getLogger("jasminerelay.daemon")
@@ -77,15 +77,15 @@
 """
 
 EXIT_USAGE = 2
-LIST_INTERVAL_S = 5.0
+INSTANCE_LIST_INTERVAL_S = 5.0
 FLUSH_INTERVAL_S = 1.0
-DRAIN_TICK_S = 0.05
-RENEW_NOTICE_MS = 5000
+DRAIN_CHECK_INTERVAL_S = 0.05
+NOTICE_RENEWAL_MS = 5000
 GC_YOUNG_OBJECTS = 100_000
 
 
 class Relay:
-    """One instance: its configuration and all its parts.
+    """One instance: its configuration and its components.
 
     Example:
         >>> relay = Relay(cfg)          # doctest: +SKIP
@@ -93,11 +93,11 @@
     """
 
     def __init__(self, cfg: Settings, rng: random.Random | None = None):
-        """Wires the parts; nothing runs yet.
+        """Creates the components without starting them.
 
         Args:
-            cfg: Checked settings.
-            rng: Source of random choices; seeded by the system if None.
+            cfg: Validated settings.
+            rng: Random number generator; seeded by the system if None.
         """
         rng = rng or random.Random()
         self.cfg = cfg
@@ -106,37 +106,37 @@
         self._invariants = Invariants(self.counters, fatal=cfg.fatal_invariants)
         self._watchdog = Watchdog()
         self._client = Client(self._watchdog)
-        # Load queries go their own way, so that a pool full of streams does
-        # not hold back the reports that routing needs.
+        # Load reports have a connection pool of their own, so that a pool
+        # exhausted by streams does not delay the reports that routing needs.
         self._probe_client = Client(self._watchdog)
         self._group: anyio.abc.TaskGroup | None = None
         self._draining = False
-        self._drain_asked = anyio.Event()
+        self._drain_requested = anyio.Event()
         self._drain_started = 0.0
-        self._listed = False
-        self.book = burn.Book()
+        self._has_instance_list = False
+        self.burn_recorder = burn.Book()
         self._wire_membership()
         self._wire_manifest()
         self._wire_permits()
         self._wire_requests()
 
     async def run(self) -> None:
-        """Runs the instance until its planned stop is done."""
+        """Runs the instance until its planned stop is complete."""
         async with anyio.create_task_group() as group:
             self._group = group
-            group.start_soon(self._signals)
+            group.start_soon(self._handle_stop_signals)
             await self._start_ports(group)
             for part in (
                 self._watchdog.run,
                 self._broker_links.run,
                 self._brokers.run,
-                self.desk.run,
-                self._claims.run,
-                self._keeper.run,
-                self._broker_watch.run,
+                self.permit_client.run,
+                self._claim_store.run,
+                self._manifest_keeper.run,
+                self._load_poller.run,
                 self._placer.run,
-                self._follow_list,
-                self._flush,
+                self._poll_instance_list,
+                self._flush_counters,
             ):
                 group.start_soon(part)
             group.start_soon(
@@ -145,7 +145,7 @@
                 self.cfg.timing.probe_interval_s,
             )
             _log.info("instance %s started", self.cfg.instance)
-            await self._until_drained()
+            await self._wait_for_planned_stop()
             await self._stop_ports()
             group.cancel_scope.cancel()
         await self._client.aclose()
@@ -154,17 +154,17 @@
         _log.info("instance %s stopped", self.cfg.instance)
 
     def drain(self) -> None:
-        """Starts a planned stop; a second call changes nothing."""
+        """Starts a planned stop; further calls have no effect."""
         if self._draining:
             return
         self._draining = True
         self._drain_started = time.monotonic()
-        self._drain_asked.set()
-        _log.info("planned stop began")
+        self._drain_requested.set()
+        _log.info("planned stop started")
         self._gossip.send(self.membership.leave())
 
     def entries(self) -> entrylist.EntryList:
-        """Returns which instances callers should use."""
+        """Returns the instances that callers should use, best first."""
         return entrylist.entry_list(
             self.membership.live(),
             self.cfg.zone,
@@ -173,8 +173,8 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """Returns the state of the instance for operators."""
-        pointer = self._keeper.spread.pointer
+        """Returns the status of the instance for operators."""
+        pointer = self._manifest_keeper.spread.pointer
         return {
             "instance": self.cfg.instance,
             "zone": self.cfg.zone,
@@ -184,9 +184,9 @@
                 "digest": pointer.digest,
             },
             "in_progress": self.progress.count,
-            "waiting": self.desk.waiting,
-            "held": self.desk.held,
-            "unrecorded": self._claims.unrecorded,
+            "waiting": self.permit_client.waiting,
+            "held": self.permit_client.held,
+            "unrecorded": self._claim_store.unrecorded,
             "members": [
                 {
                     "instance": member.instance,
@@ -237,12 +237,14 @@
     def _wire_manifest(self) -> None:
         cfg = self.cfg
         timeout_s = cfg.timing.store_timeout_s
-        self._table = Table(self._client, cfg.platform, timeout_s)
-        self._objects = Objects(self._client, cfg.platform, timeout_s)
-        self._list = InstanceList(self._client, cfg.platform, timeout_s)
-        self._keeper = ManifestKeeper(
-            self._table,
-            self._objects,
+        self._table_client = Table(self._client, cfg.platform, timeout_s)
+        self._object_store = Objects(self._client, cfg.platform, timeout_s)
+        self._instance_list = InstanceListClient(
+            self._client, cfg.platform, timeout_s
+        )
+        self._manifest_keeper = ManifestKeeper(
+            self._table_client,
+            self._object_store,
             cfg.timing,
             self.counters,
             self._invariants,
@@ -258,7 +260,7 @@
         self._brokers = BrokerHost(
             self._directory, self.counters, self._invariants
         )
-        self._broker_watch = LoadWatch(
+        self._load_poller = LoadWatch(
             self._probe_client,
             self._watched_servers,
             self._on_load,
@@ -266,11 +268,11 @@
             self.counters,
             cfg.timing.load_interval_s,
         )
-        self._brokers.watch_with(self._broker_watch)
+        self._brokers.watch_with(self._load_poller)
         self._broker_links = peers.BrokerLinks(
             cfg.instance, self._brokers, self._peer_credentials, self.counters
         )
-        self.desk = PermitDesk(
+        self.permit_client = PermitDesk(
             self.membership.own,
             self.membership.live,
             self._directory,
@@ -280,13 +282,13 @@
             cfg.timing.permit_timeout_s,
             cfg.coordination,
         )
-        self._broker_links.set_handler(self.desk, self._peer_address)
+        self._broker_links.set_handler(self.permit_client, self._peer_address)
 
         self._placer = Placer(
             self.membership.own,
             self.membership.live,
             self._directory,
-            self._table,
+            self._table_client,
             self._probe_client,
             cfg.timing,
             self.counters,
@@ -295,19 +297,19 @@
     def _wire_requests(self) -> None:
         cfg = self.cfg
         signer = Signer(cfg.keys.resume_secret)
-        self._claims = ClaimDesk(
-            self._table,
-            self._objects,
+        self._claim_store = ClaimDesk(
+            self._table_client,
+            self._object_store,
             self.counters,
             cfg.timing.claim_settle_s,
             cfg.bounds.max_outcome_bytes,
         )
         completions = Completions(
             Kit(
-                self.desk,
+                self.permit_client,
                 backends.Engines(self._client),
                 signer,
-                self.book,
+                self.burn_recorder,
                 self.counters,
                 self._invariants,
                 cfg.timing,
@@ -318,10 +320,10 @@
             )
         )
         services = ServiceCalls(
-            self.desk,
+            self.permit_client,
             backends.Services(self._client),
-            self._claims,
-            self.book,
+            self._claim_store,
+            self.burn_recorder,
             self.counters,
             self._invariants,
             self._on_server_leaving,
@@ -329,7 +331,7 @@
             signer.ticket,
         )
         self.progress = replies.Progress(cfg.bounds.max_requests)
-        self._front = callers.FrontendContext(
+        self._frontend_context = callers.FrontendContext(
             self._directory,
             self.entries,
             self._ready,
@@ -340,31 +342,31 @@
                 self.counters, cfg.bounds, self.progress, self._watchdog
             ),
         )
-        self._office = operators.Office(
+        self._operators_context = operators.Office(
             cfg.keys.operator_token,
-            self._keeper,
+            self._manifest_keeper,
             self.status,
             self.entries,
             self.drain,
-            self.book,
+            self.burn_recorder,
             self.counters,
             cfg.instance,
         )
 
     def _directory(self) -> Directory | None:
-        return self._keeper.directory
+        return self._manifest_keeper.directory
 
     def _ready(self) -> bool:
         return self._directory() is not None and not self._draining
 
     def _spawn(self, action, *args) -> None:
         if self._group is not None:
-            self._group.start_soon(self._guarded, action, *args)
+            self._group.start_soon(self._run_and_log_errors, action, *args)
 
-    async def _guarded(self, action, *args) -> None:
-        # These tasks serve single requests. One that hits a fault of the
-        # program ends as unknown; without the guard the whole instance would
-        # stop and cut every other request.
+    async def _run_and_log_errors(self, action, *args) -> None:
+        # Each of these tasks serves one request. If it raises an unexpected
+        # exception, the outcome of that request is unknown. If the exception
+        # were not caught, the instance would stop and break off all others.
         try:
             await action(*args)
         except Exception:
@@ -381,7 +383,7 @@
         directory = self._directory()
         servers = {server.name: server for server in self._brokers.servers()}
         if directory is not None:
-            for name in self.desk.local_cells():
+            for name in self.permit_client.local_cells():
                 if name in directory.cells:
                     for server in directory.cells[name].servers:
                         servers[server.name] = server
@@ -390,22 +392,22 @@
     def _on_load(self, server: str, report: LoadReport, now: float) -> None:
         if report.leaving:
             self._on_server_leaving(server)
-        elif self._hold_is_over(server):
-            self._note_server(server, leaving=False)
+        elif self._leaving_hold_expired(server):
+            self._publish_notice(server, leaving=False)
         self._brokers.report(server, report, now)
-        self.desk.report(server, report, now)
+        self.permit_client.report(server, report, now)
 
     def _on_server_leaving(self, server: str) -> None:
         notice = self.membership.notice_of(server)
-        fresh = notice is not None and notice.leaving
-        if not fresh or _now_ms() - notice.stamp > RENEW_NOTICE_MS:
-            self._note_server(server, leaving=True)
+        is_leaving = notice is not None and notice.leaving
+        if not is_leaving or _now_ms() - notice.stamp > NOTICE_RENEWAL_MS:
+            self._publish_notice(server, leaving=True)
 
-    def _hold_is_over(self, server: str) -> bool:
-        """Returns whether a leaving server may be taken as back.
+    def _leaving_hold_expired(self, server: str) -> bool:
+        """Returns whether a leaving server may be used again.
 
-        A load report alone does not bring it back: reports lag, and some do
-        not tell of leaving at all.
+        A load report that does not say `leaving` is not enough: reports lag,
+        and some servers never report that they are leaving.
         """
         notice = self.membership.notice_of(server)
         if notice is None or not notice.leaving:
@@ -413,25 +415,25 @@
         hold_ms = self.cfg.timing.leaving_hold_s * 1000
         return _now_ms() - notice.stamp > hold_ms
 
-    def _note_server(self, server: str, *, leaving: bool) -> None:
+    def _publish_notice(self, server: str, *, leaving: bool) -> None:
         was_leaving = server in self.membership.leaving_servers()
         self.membership.notice(Notice(server, leaving, _now_ms()))
         self.counters.incr("server.leaving" if leaving else "server.back")
         if (server in self.membership.leaving_servers()) != was_leaving:
-            word = "is leaving" if leaving else "is back"
-            _log.info("backend server %s %s", server, word)
-        self._tell_leaving()
+            status_text = "is leaving" if leaving else "is available again"
+            _log.info("backend server %s %s", server, status_text)
+        self._apply_leaving_servers()
         self._gossip.send(self.membership.push())
 
     def _on_gossip(self, gossip: Gossip) -> None:
-        self._keeper.hear(gossip.manifest, gossip.sender.peers)
+        self._manifest_keeper.hear(gossip.manifest, gossip.sender.peers)
         if gossip.notices:
-            self._tell_leaving()
+            self._apply_leaving_servers()
 
-    def _tell_leaving(self) -> None:
+    def _apply_leaving_servers(self) -> None:
         leaving = self.membership.leaving_servers()
         self._brokers.set_leaving(leaving)
-        self.desk.set_leaving(leaving)
+        self.permit_client.set_leaving(leaving)
 
     def _on_verified(self, pointer: ManifestPointer) -> None:
         self.membership.pointer = pointer
@@ -439,7 +441,7 @@
 
     def _on_adopted(self) -> None:
         self._brokers.manifest_changed()
-        self.desk.manifest_changed()
+        self.permit_client.manifest_changed()
 
     async def _fetch_peer(
         self, address: str, pointer: ManifestPointer
@@ -450,12 +452,12 @@
 
     async def _start_ports(self, group: anyio.abc.TaskGroup) -> None:
         self._peer_server = peers.PeerServer(
-            self._brokers, self._peer_credentials, self._keeper.reply
+            self._brokers, self._peer_credentials, self._manifest_keeper.reply
         )
         await self._peer_server.start(self.cfg.listen.peers)
         bounds = self.cfg.bounds
         self._callers_port = ports.port(
-            callers.Application(self._front),
+            callers.Application(self._frontend_context),
             self.cfg.listen.callers,
             http=headbound.bounded(
                 lambda: headbound.HeadBounds(bounds.max_header_bytes)
@@ -463,7 +465,7 @@
         )
         tls = self.cfg.tls
         self._operators_port = ports.port(
-            operators.application(self._office),
+            operators.application(self._operators_context),
             self.cfg.listen.operators,
             ssl_certfile=tls.cert or None,
             ssl_keyfile=tls.key or None,
@@ -479,53 +481,56 @@
         await self._peer_server.stop()
         await anyio.sleep(0.2)
 
-    async def _signals(self) -> None:
+    async def _handle_stop_signals(self) -> None:
         try:
             with anyio.open_signal_receiver(
                 signal.SIGTERM, signal.SIGINT
             ) as received:
                 async for _ in received:
-                    # A second signal does not cut requests either; whoever
-                    # wants that sends SIGKILL.
+                    # A second signal does not abort requests either; SIGKILL
+                    # does.
                     self.drain()
         finally:
             stopsignals.ignore_late()
 
-    async def _follow_list(self) -> None:
+    async def _poll_instance_list(self) -> None:
         while True:
             try:
-                members = await self._list.members()
+                members = await self._instance_list.members()
                 self.membership.seed(members, time.monotonic())
-                self._listed = True
+                self._has_instance_list = True
             except StoreError:
                 self.counters.incr("list.failed")
-            await anyio.sleep(LIST_INTERVAL_S if self._listed else 0.5)
+            await anyio.sleep(
+                INSTANCE_LIST_INTERVAL_S if self._has_instance_list else 0.5
+            )
 
-    async def _flush(self) -> None:
+    async def _flush_counters(self) -> None:
         while True:
             await anyio.sleep(FLUSH_INTERVAL_S)
             self.counters.flush()
 
-    async def _until_drained(self) -> None:
-        await self._drain_asked.wait()
-        while not self._drained():
-            await anyio.sleep(DRAIN_TICK_S)
+    async def _wait_for_planned_stop(self) -> None:
+        await self._drain_requested.wait()
+        while not self._can_stop():
+            await anyio.sleep(DRAIN_CHECK_INTERVAL_S)
 
-    def _drained(self) -> bool:
-        """Returns whether nobody can need this instance any more.
+    def _can_stop(self) -> bool:
+        """Returns whether the planned stop can be completed.
 
-        Callers may come until the last entry list that named it expires.
+        New callers may arrive until the last entry list that contains this
+        instance expires.
         """
         if not self._draining:
             return False
-        asked = time.monotonic() - self._drain_started
-        if asked < self.cfg.timing.entry_ttl_s:
+        elapsed_s = time.monotonic() - self._drain_started
+        if elapsed_s < self.cfg.timing.entry_ttl_s:
             return False
-        return self.progress.count == 0 and self._claims.unrecorded == 0
+        return self.progress.count == 0 and self._claim_store.unrecorded == 0
 
 
 def _now_ms() -> int:
-    """Returns Unix time in milliseconds, by which notices are ordered."""
+    """Returns the Unix time in milliseconds, which orders notices."""
     return time.time_ns() // 1_000_000
 
 
@@ -550,8 +555,8 @@
         ),
     )
     logging.getLogger("httpcore").setLevel(logging.WARNING)
-    # Streams leave little cyclic garbage; collecting less often saves a
-    # twentieth of the processor time for each token.
+    # Streams create little cyclic garbage. Less frequent collections save 5 %
+    # of the CPU time per token.
     gc.freeze()
     gc.set_threshold(GC_YOUNG_OBJECTS)
     anyio.run(Relay(cfg).run)
--- a/src/jasminerelay/entrylist.py
+++ b/src/jasminerelay/entrylist.py
@@ -1,4 +1,4 @@
-"""Which instances a caller should use, in order."""
+"""The entry list: the instances that a caller should use, best first."""
 
 import dataclasses
 import random
@@ -8,11 +8,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryList:
-    """The answer of /v1/entry.
+    """The response of /v1/entry.
 
     Attributes:
         addresses: Base URLs, best first.
-        ttl_s: Seconds for which the caller may keep the answer.
+        ttl_s: Time for which the caller may cache the response.
     """
 
     addresses: tuple[str, ...]
@@ -22,7 +22,7 @@
 def entry_list(
     members: list[Member], zone: str, ttl_s: float, rng: random.Random
 ) -> EntryList:
-    """Returns the live instances, those of the caller's zone first."""
+    """Returns the entry list for a zone, its own instances first."""
     ordered = in_order(members, zone, rng)
     addresses = tuple(f"http://{member.callers}" for member in ordered)
     return EntryList(addresses, ttl_s)
@@ -31,9 +31,10 @@
 def in_order(
     members: list[Member], zone: str, rng: random.Random
 ) -> list[Member]:
-    """Returns instances, those of a zone first.
+    """Returns the instances in random order, those of a zone first.
 
-    Shuffled within each part, so that callers spread without a balancer.
+    The random order spreads callers over the instances without a load
+    balancer.
     """
     shuffled = list(members)
     rng.shuffle(shuffled)
--- a/src/jasminerelay/httpclient.py
+++ b/src/jasminerelay/httpclient.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange, with proof of whether it reached the other side."""
+"""HTTP client whose errors show whether a request may have been executed."""
 
 import dataclasses
 from collections.abc import AsyncIterator, Mapping
@@ -10,27 +10,27 @@
 from jasminerelay.watchdog import Watchdog
 
 MAX_CONNECTIONS = 1000
-MAX_KEEPALIVE = 100
-KEEPALIVE_S = 20.0
+MAX_IDLE_CONNECTIONS = 100
+KEEPALIVE_EXPIRY_S = 20.0
 CONNECT_S = 1.0
 
 
 class NotSentError(Exception):
-    """No byte of the request left; it provably did not run."""
+    """No byte of the request was sent; it provably was not executed."""
 
 
 class BrokenError(Exception):
-    """The exchange broke after bytes were sent; it may have run."""
+    """The exchange failed after bytes were sent; it may have been executed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """A whole response.
+    """A complete response.
 
     Attributes:
         status: HTTP status.
         headers: Header fields, names in lower case.
-        body: Body, whole.
+        body: Complete body.
     """
 
     status: int
@@ -40,17 +40,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Exchange:
-    """A request to send.
+    """A request to send, and how to send it.
 
     Attributes:
         method: HTTP method.
         url: Full URL.
         headers: Header fields.
         body: Body.
-        timeout_s: Longest silence of the other side.
-        fresh: Whether to open a new connection. On a kept one the other side
-            may have hung up already, which looks the same as a crash after
-            it took the request; a fresh one tells the two apart.
+        timeout_s: Time limit for each read and each write.
+        fresh: Whether to open a new connection. The server may already have
+            closed a pooled one, which looks the same as a crash after it
+            received the request; a new connection distinguishes the two.
     """
 
     method: str
@@ -62,21 +62,21 @@
 
 
 class Client:
-    """Bounded connection pool; one for all backend servers of an instance."""
+    """HTTP client with a bounded connection pool, shared by all servers."""
 
     def __init__(self, watchdog: Watchdog, *, keepalive: bool = False):
-        """Makes the pool.
+        """Creates the connection pool.
 
         Args:
-            watchdog: Limits the reads.
-            keepalive: Whether the kernel looks for a silent other side.
+            watchdog: Enforces the time limits of reads.
+            keepalive: Whether TCP keepalive detects an unresponsive server.
         """
-        self._backend = WatchedBackend(watchdog, keepalive=keepalive)
+        self._network_backend = WatchedBackend(watchdog, keepalive=keepalive)
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=MAX_CONNECTIONS,
-            max_keepalive_connections=MAX_KEEPALIVE,
-            keepalive_expiry=KEEPALIVE_S,
-            network_backend=self._backend,
+            max_keepalive_connections=MAX_IDLE_CONNECTIONS,
+            keepalive_expiry=KEEPALIVE_EXPIRY_S,
+            network_backend=self._network_backend,
         )
 
     async def aclose(self) -> None:
@@ -84,28 +84,28 @@
         await self._pool.aclose()
 
     async def call(self, exchange: Exchange) -> Reply:
-        """Sends a request and reads the whole response.
+        """Sends a request and reads the complete response.
 
         Raises:
             NotSentError: if no byte was sent.
-            BrokenError: if the exchange broke later.
+            BrokenError: if the exchange failed later.
         """
         async with self.stream(exchange) as response:
             try:
                 body = await response.aread()
-            except _BROKEN as exc:
+            except _BROKEN_ERRORS as exc:
                 raise BrokenError(repr(exc)) from exc
-            return Reply(response.status, headers_of(response), body)
+            return Reply(response.status, response_headers(response), body)
 
     @asynccontextmanager
     async def stream(
         self, exchange: Exchange
     ) -> AsyncIterator[httpcore.Response]:
-        """Sends a request and gives the response before its body is read.
+        """Sends a request and yields the response before its body is read.
 
         Raises:
             NotSentError: if no byte was sent.
-            BrokenError: if the exchange broke before the response's head.
+            BrokenError: if the exchange failed before the response headers.
         """
         headers = [(key, value) for key, value in exchange.headers.items()]
         if exchange.body or exchange.method in ("POST", "PUT", "PATCH"):
@@ -120,20 +120,22 @@
         }
         pool = self._pool
         if exchange.fresh:
-            pool = httpcore.AsyncConnectionPool(network_backend=self._backend)
+            pool = httpcore.AsyncConnectionPool(
+                network_backend=self._network_backend
+            )
         try:
             manager = pool.stream(
                 exchange.method,
                 exchange.url,
-                headers=_with_host(headers, exchange.url),
+                headers=_with_host_header(headers, exchange.url),
                 content=exchange.body or None,
                 extensions={"timeout": timeout},
             )
             try:
                 response = await manager.__aenter__()
-            except _NOT_SENT as exc:
+            except _NOT_SENT_ERRORS as exc:
                 raise NotSentError(repr(exc)) from exc
-            except _BROKEN as exc:
+            except _BROKEN_ERRORS as exc:
                 raise BrokenError(repr(exc)) from exc
             try:
                 yield response
@@ -144,8 +146,8 @@
                 await pool.aclose()
 
 
-def headers_of(response: httpcore.Response) -> dict[str, str]:
-    """Returns the header fields, names in lower case."""
+def response_headers(response: httpcore.Response) -> dict[str, str]:
+    """Returns the header fields of a response, names in lower case."""
     return {
         key.decode("latin-1").lower(): value.decode("latin-1")
         for key, value in response.headers
@@ -153,32 +155,32 @@
 
 
 async def body_chunks(response: httpcore.Response) -> AsyncIterator[bytes]:
-    """Yields the body as it comes.
+    """Yields the body of a response in the chunks received.
 
     Raises:
-        BrokenError: if it breaks off.
+        BrokenError: if the connection fails before the end of the body.
     """
     try:
         async for chunk in response.aiter_stream():
             yield chunk
-    except _BROKEN as exc:
+    except _BROKEN_ERRORS as exc:
         raise BrokenError(repr(exc)) from exc
 
 
-_NOT_SENT = (
+_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
     httpcore.UnsupportedProtocol,
 )
-_BROKEN = (
+_BROKEN_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
 )
 
 
-def _with_host(
+def _with_host_header(
     headers: list[tuple[str, str]], url: str
 ) -> list[tuple[str, str]]:
     host = url.split("/", 3)[2]
--- a/src/jasminerelay/launch.py
+++ b/src/jasminerelay/launch.py
@@ -1,4 +1,4 @@
-"""Entry point of the daemon of the own interface."""
+"""Entry point of the daemon `jasminerelayd`."""
 
 import sys
 
@@ -8,7 +8,8 @@
 def daemon() -> int:
     """Runs the daemon; returns its exit status."""
     stopsignals.answer_early()
-    # Imported only now: whatever signal comes first is answered from here on.
+    # Imported here, after the signal handlers are set, since loading the
+    # daemon takes time in which a signal may arrive.
     from jasminerelay.daemon import main
 
     return main()
--- a/src/jasminerelay/netstream.py
+++ b/src/jasminerelay/netstream.py
@@ -1,4 +1,4 @@
-"""Network streams for the HTTP client whose reads the watchdog limits."""
+"""Network backend of the HTTP client, with read timeouts by the watchdog."""
 
 import select
 import socket
@@ -12,21 +12,25 @@
 
 from jasminerelay.watchdog import Watchdog
 
-PROBE_IDLE_S = 1
-PROBE_EVERY_S = 1
-PROBES = 2
-"""A silent other side is found within three seconds, the time after which
-callers have given up on short answers anyway."""
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+"""An unresponsive host is detected within three seconds, the time after which
+callers have abandoned short responses anyway."""
 
-_BROKEN = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
+_CONNECTION_ERRORS = (
+    OSError,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
 
 
 class WatchedStream(httpcore.AsyncNetworkStream):
-    """A TCP connection.
+    """A TCP connection with read timeouts enforced by the watchdog.
 
     Attributes:
-        read_limit_s: Longest silence, in place of the request's own limit;
-            None for that one.
+        read_limit_s: Read timeout that overrides the one of the request; None
+            for no override.
     """
 
     def __init__(self, stream: SocketStream, watchdog: Watchdog):
@@ -36,7 +40,7 @@
         self.read_limit_s: float | None = None
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Reads what is there; b"" at the end."""
+        """Returns the next bytes received, or b"" at the end of the stream."""
         limit_s = self.read_limit_s or timeout
         if limit_s is not None:
             self._guard.arm(limit_s)
@@ -44,25 +48,29 @@
             return await self._stream.receive(max_bytes)
         except anyio.EndOfStream as exc:
             if self._guard.expired:
-                raise httpcore.ReadTimeout("silent for too long") from exc
+                raise httpcore.ReadTimeout(
+                    "no data within the read timeout"
+                ) from exc
             return b""
-        except _BROKEN as exc:
+        except _CONNECTION_ERRORS as exc:
             if self._guard.expired:
-                raise httpcore.ReadTimeout("silent for too long") from exc
+                raise httpcore.ReadTimeout(
+                    "no data within the read timeout"
+                ) from exc
             raise httpcore.ReadError(str(exc)) from exc
         finally:
             self._guard.disarm()
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Writes all of the buffer."""
+        """Writes the entire buffer."""
         if not buffer:
             return
         try:
             with anyio.fail_after(timeout):
                 await self._stream.send(buffer)
         except TimeoutError as exc:
-            raise httpcore.WriteTimeout("blocked for too long") from exc
-        except _BROKEN as exc:
+            raise httpcore.WriteTimeout("write timed out") from exc
+        except _CONNECTION_ERRORS as exc:
             raise httpcore.WriteError(str(exc)) from exc
 
     async def aclose(self) -> None:
@@ -76,19 +84,21 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Refuses: backend servers and the platform are reached in plain."""
-        raise httpcore.UnsupportedProtocol("give an http:// address")
+        """Refuses TLS: backend servers and the platform use plain HTTP."""
+        raise httpcore.UnsupportedProtocol(
+            "https is not supported; use an http:// address"
+        )
 
     def get_extra_info(self, info: str) -> Any:
-        """Returns what the HTTP client asks of the connection."""
+        """Returns whether the connection is readable for "is_readable"."""
         if info == "is_readable":
             raw = self._stream.extra(SocketAttribute.raw_socket)
             return _is_readable(raw)
         return None
 
     def _abort(self) -> None:
-        # Shutting the socket down wakes the reader, which then knows by the
-        # guard that it was this and not the other side.
+        # Shutting the socket down wakes the reader. The expired guard tells it
+        # that this was a timeout and not a disconnect of the remote host.
         raw = self._stream.extra(SocketAttribute.raw_socket)
         try:
             raw.shutdown(socket.SHUT_RDWR)
@@ -97,14 +107,14 @@
 
 
 class WatchedBackend(httpcore.AsyncNetworkBackend):
-    """Opens watched connections."""
+    """Network backend that opens connections with watchdog timeouts."""
 
     def __init__(self, watchdog: Watchdog, *, keepalive: bool = False):
-        """Makes the backend.
+        """Creates the backend.
 
         Args:
-            watchdog: Limits the reads.
-            keepalive: Whether the kernel looks for a silent other side.
+            watchdog: Enforces the time limits of reads.
+            keepalive: Whether to enable TCP keepalive on new connections.
         """
         self._watchdog = watchdog
         self._keepalive = keepalive
@@ -117,7 +127,7 @@
         local_address: str | None = None,
         socket_options: Iterable[Any] | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Connects; small writes go out at once."""
+        """Opens a connection, with Nagle's algorithm disabled."""
         del local_address, socket_options
         try:
             with anyio.fail_after(timeout):
@@ -127,22 +137,26 @@
         except OSError as exc:
             raise httpcore.ConnectError(str(exc)) from exc
         if self._keepalive:
-            _keep_alive(stream.extra(SocketAttribute.raw_socket))
+            _enable_keepalive(stream.extra(SocketAttribute.raw_socket))
         return WatchedStream(stream, self._watchdog)
 
     async def sleep(self, seconds: float) -> None:
-        """Waits."""
+        """Suspends the task."""
         await anyio.sleep(seconds)
 
 
-def _keep_alive(raw: socket.socket) -> None:
-    # A connection may fall silent for good without a reset, while new ones
-    # work; nothing but an unanswered probe shows it.
+def _enable_keepalive(raw: socket.socket) -> None:
+    # A connection may stop transmitting for good without a reset while new
+    # connections work. Only an unanswered keepalive probe reveals this.
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    limit_ms = 1000 * (PROBE_IDLE_S + PROBE_EVERY_S * PROBES)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    raw.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
+    )
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    limit_ms = 1000 * (
+        KEEPALIVE_IDLE_S + KEEPALIVE_INTERVAL_S * KEEPALIVE_PROBES
+    )
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
 
 
--- a/src/jasminerelay/peers.py
+++ b/src/jasminerelay/peers.py
@@ -155,7 +155,7 @@
     def send(self, peer: str, frame: EntryFrame) -> None:
         """Queues a frame for the broker of an instance.
 
-        A frame may be lost with its link; the permit client outgoing its full
+        A frame may be lost with its link; the permit client sends its full
         state again when the link is re-established.
         """
         if peer in (self._own_instance, ""):
@@ -209,7 +209,7 @@
             call = method(metadata=self._credentials.metadata)
             await call.wait_for_connection()
             # Frames queued for the former connection are obsolete: the permit
-            # client outgoing its full state again.
+            # client sends its full state again.
             _drain(link.source)
             self._permit_client.on_link_up(peer)
             async with anyio.create_task_group() as group:
@@ -282,7 +282,7 @@
                     frames.send_nowait(frame)
                 except (anyio.WouldBlock, anyio.BrokenResourceError):
                     # A peer that does not read has crashed or is frozen. It
-                    # outgoing its full state again when it reconnects.
+                    # sends its full state again when it reconnects.
                     group.cancel_scope.cancel()
 
             async def write() -> None:
--- a/src/jasminerelay/ports.py
+++ b/src/jasminerelay/ports.py
@@ -1,4 +1,4 @@
-"""The HTTP ports of an instance."""
+"""The HTTP servers of an instance's ports."""
 
 import contextlib
 
@@ -8,34 +8,34 @@
 from jasminerelay import settings
 
 KEEPALIVE_S = 30
-PORT_TICK_S = 1.0
+TICK_INTERVAL_S = 1.0
 
 
-class Port(uvicorn.Server):
-    """A server that leaves signals to the daemon."""
+class HttpServer(uvicorn.Server):
+    """An HTTP server that leaves the handling of signals to the daemon."""
 
     async def main_loop(self) -> None:
-        """Ticks once a second, which the date header needs.
+        """Ticks once per second, as often as the date header changes.
 
-        Ten times, as the library does, cost an idle instance more than all
-        its messages.
+        Ten ticks per second, uvicorn's default, cost an idle instance more
+        CPU time than all its messages.
         """
         while not await self.on_tick(0):
-            await anyio.sleep(PORT_TICK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Captures none; else a second SIGTERM would cut requests."""
+        """Installs no handlers; else a second SIGTERM would abort requests."""
         yield
 
 
-def port(app, address: str, **options) -> Port:
-    """Returns a server for an ASGI application.
+def port(app, address: str, **options) -> HttpServer:
+    """Returns an HTTP server for an ASGI application.
 
     Args:
         app: The application.
         address: IP:port to listen on.
-        options: More options of the library.
+        options: Additional options of uvicorn.Config.
     """
     host, port = settings.split_address(address)
     defaults = {
@@ -47,4 +47,4 @@
         "ws": "none",
         "timeout_keep_alive": KEEPALIVE_S,
     }
-    return Port(uvicorn.Config(app, **{**defaults, **options}))
+    return HttpServer(uvicorn.Config(app, **{**defaults, **options}))
--- a/src/jasminerelay/sse.py
+++ b/src/jasminerelay/sse.py
@@ -1,7 +1,7 @@
-"""Server-sent events: a bounded incremental parser.
+"""Server-sent events: incremental parsing with a bounded buffer.
 
-Written here, since it runs for every token and the libraries at hand parse
-decoded text by line inside an HTTP client of their own.
+This module does not use a library since it runs for every token; the available
+libraries parse decoded text line by line within an HTTP client of their own.
 """
 
 import dataclasses
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One event.
+    """A parsed event.
 
     Attributes:
-        data: Its data lines, joined by line feeds.
-        id: Its id line, or empty.
-        kind: Its event line, or empty.
+        data: Values of the data fields, joined by line feeds.
+        id: Value of the id field, or empty.
+        kind: Value of the event field, or empty.
     """
 
     data: bytes
@@ -25,31 +25,31 @@
 
 
 class Parser:
-    """Splits a byte stream into events, whatever the chunking."""
+    """Parses a byte stream, split into chunks at any point, into events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Returns the events that are whole now.
+        """Adds a chunk and returns the events that it completes.
 
         Raises:
             ValueError: if an event is larger than MAX_EVENT_BYTES.
         """
         text = self._buffer + chunk
         if b"\r" in text:
-            # A chunk may end between CR and LF; the CR waits for its LF.
+            # A chunk may end between CR and LF, so a final CR is kept back.
             held = b"\r" if text.endswith(b"\r") else b""
             text = text[: len(text) - len(held)].replace(b"\r\n", b"\n")
             text = text.replace(b"\r", b"\n") + held
         *blocks, self._buffer = text.split(b"\n\n")
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise ValueError("event is too large")
-        events = (_event(block) for block in blocks)
+            raise ValueError("the event exceeds the size limit")
+        events = (_parse_event(block) for block in blocks)
         return [event for event in events if event is not None]
 
 
-def _event(block: bytes) -> Event | None:
+def _parse_event(block: bytes) -> Event | None:
     fields: dict[bytes, list[bytes]] = {}
     for line in block.split(b"\n"):
         name, _, value = line.partition(b":")
@@ -65,11 +65,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RawEvent:
-    """One event as it came.
+    """An unmodified event.
 
     Attributes:
-        data: Its bytes, with the empty line that ends it.
-        id: Its id line, or empty.
+        data: Bytes of the event, including the empty line at its end.
+        id: Value of the id field, or empty.
     """
 
     data: bytes
@@ -77,11 +77,11 @@
 
 
 class EventCutter:
-    """Cuts a byte stream into whole events and leaves their bytes alone.
+    """Splits a byte stream into complete, unmodified events.
 
-    A backend server that crashes may stop in the middle of an event. Passing
-    on whole events only means that another server can go on behind the last
-    one without a torn piece between.
+    A backend server that crashes may stop in the middle of an event. If only
+    complete events are forwarded, another server can continue the stream
+    after the last one without a partial event in between.
     """
 
     def __init__(self) -> None:
@@ -89,22 +89,22 @@
 
     @property
     def torn(self) -> bool:
-        """Whether an event has begun and not ended."""
+        """Whether the stream so far ends with an incomplete event."""
         return bool(self._buffer)
 
     def feed(self, chunk: bytes) -> list[RawEvent]:
-        """Returns the events that are whole now.
+        """Adds a chunk and returns the events that it completes.
 
         Raises:
             ValueError: if an event is larger than MAX_EVENT_BYTES.
         """
         *blocks, self._buffer = (self._buffer + chunk).split(b"\n\n")
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise ValueError("event is too large")
-        return [RawEvent(block + b"\n\n", _id_of(block)) for block in blocks]
+            raise ValueError("the event exceeds the size limit")
+        return [RawEvent(block + b"\n\n", _parse_id(block)) for block in blocks]
 
 
-def _id_of(block: bytes) -> bytes:
+def _parse_id(block: bytes) -> bytes:
     for line in block.split(b"\n"):
         if line.startswith(b"id:"):
             return line[3:].strip()
--- a/src/jasminerelay/stopsignals.py
+++ b/src/jasminerelay/stopsignals.py
@@ -1,9 +1,9 @@
-"""Signals that come before a program listens to them, and after.
+"""Handling of stop signals during startup and at the end of a shutdown.
 
-Loading a program takes a good part of a second, several on a busy machine. An
-instance that is told to stop in that time has accepted nothing, so it ends in
-order at once; by the signal's default action a rolling restart would report a
-failed unit.
+Loading a program takes a large part of a second, and several seconds on a busy
+machine. An instance that receives a stop signal in that time has accepted no
+request, so it exits at once with status 0. With the default action of the
+signal, a rolling restart would report a failed unit.
 """
 
 import contextlib
@@ -11,28 +11,28 @@
 import signal
 import sys
 
-_STOP_LINE = b'{"event":"stop","why":"told to stop while it was starting"}\n'
+_STOP_LINE = b'{"event":"stop","why":"stop signal received during startup"}\n'
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 def answer_early() -> None:
-    """Ends the process in order when it is told to stop while it starts.
+    """Makes the process exit with status 0 on a stop signal during startup.
 
-    Holds until the program listens to the signals itself.
+    The handlers stay until the program installs its own.
     """
     for number in _STOP_SIGNALS:
-        signal.signal(number, _end)
+        signal.signal(number, _exit_on_signal)
 
 
 def ignore_late() -> None:
-    """Lets a stop that is almost done go on, whatever signal comes."""
+    """Ignores all further signals, so that an almost complete stop finishes."""
     for number in (*_STOP_SIGNALS, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
 
 
-def _end(number: int, frame: object) -> None:
+def _exit_on_signal(number: int, frame: object) -> None:
     del number, frame
-    # Whoever read the lines may be gone, and then nobody is to be told.
+    # The reader of standard output may have exited already.
     with contextlib.suppress(OSError):
         os.write(sys.__stdout__.fileno(), _STOP_LINE)
     os._exit(0)
--- a/src/jasminerelay/store.py
+++ b/src/jasminerelay/store.py
@@ -1,4 +1,4 @@
-"""Clients of the platform: table service, object store, instance list."""
+"""Clients of the platform's table service, object store, instance list."""
 
 import dataclasses
 from typing import Any
@@ -16,9 +16,9 @@
 from jasminerelay.schema.messages import Member
 from jasminerelay.schema.settings import Platform
 
-RETRY_S = 1.0
+RETRY_AFTER_S = 1.0
 ABSENT = 0
-"""The version that an insert expects."""
+"""Expected version of a write that inserts a row."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -26,9 +26,9 @@
     """A row of the table service.
 
     Attributes:
-        key: Its key.
-        version: Raised by one with each write.
-        value: Its content.
+        key: Key of the row.
+        version: Version, incremented by each write.
+        value: Content.
     """
 
     key: str
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Write:
-    """A conditional write.
+    """A write that is conditional on the version of its row.
 
     Attributes:
         key: Key of the row.
@@ -53,11 +53,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Written:
-    """The result of one write.
+    """The result of a conditional write.
 
     Attributes:
-        ok: Whether the condition held and the write took effect.
-        row: The row after it; the one in the way if it did not.
+        ok: Whether the expected version matched and the write took effect.
+        row: The row after the write; if it failed, the existing row.
     """
 
     ok: bool
@@ -70,10 +70,10 @@
 
 
 class Table:
-    """The table service.
+    """Client of the table service.
 
-    Every method raises StoreError if there is no answer; a write may then
-    have taken effect all the same.
+    Every method raises StoreError if the service does not respond. A write
+    may nevertheless have taken effect then.
     """
 
     def __init__(self, client: Client, cfg: Platform, timeout_s: float):
@@ -82,26 +82,26 @@
         self._timeout_s = timeout_s
 
     async def read(self, key: str) -> Row | None:
-        """Returns a row, or None if there is none."""
+        """Returns a row, or None if it does not exist."""
         url = f"{self._base}/v1/rows/{key}"
         reply = await _call(
             self._client, Exchange("GET", url, timeout_s=self._timeout_s)
         )
         if reply.status == 404:
             return None
-        return _decoded(reply, Row)
+        return _decode(reply, Row)
 
     async def commit(self, writes: list[Write]) -> list[Written]:
-        """Applies writes in one transaction, each on its own condition."""
+        """Applies writes in one transaction, each if its version matches."""
         body = msgspec.json.encode({"writes": writes})
         url = f"{self._base}/v1/commit"
         exchange = Exchange("POST", url, body=body, timeout_s=self._timeout_s)
         reply = await _call(self._client, exchange)
-        return _decoded(reply, _CommitReply).results
+        return _decode(reply, _CommitReply).results
 
 
 class Objects:
-    """The object store; raises StoreError if there is no answer."""
+    """Client of the object store; raises StoreError if it does not respond."""
 
     def __init__(self, client: Client, cfg: Platform, timeout_s: float):
         self._client = client
@@ -109,7 +109,7 @@
         self._timeout_s = timeout_s
 
     async def put(self, key: str, body: bytes) -> None:
-        """Stores an object; storing the same one twice is harmless."""
+        """Stores an object; idempotent."""
         reply = await _call(
             self._client,
             Exchange(
@@ -120,10 +120,10 @@
             ),
         )
         if reply.status >= 300:
-            raise _unavailable(f"status {reply.status}")
+            raise _unavailable_error(f"HTTP status {reply.status}")
 
     async def get(self, key: str) -> bytes | None:
-        """Returns an object, or None if there is none."""
+        """Returns an object, or None if it does not exist."""
         reply = await _call(
             self._client,
             Exchange("GET", f"{self._base}/{key}", timeout_s=self._timeout_s),
@@ -131,7 +131,7 @@
         if reply.status == 404:
             return None
         if reply.status != 200:
-            raise _unavailable(f"status {reply.status}")
+            raise _unavailable_error(f"HTTP status {reply.status}")
         return reply.body
 
 
@@ -140,8 +140,8 @@
     instances: list[Member]
 
 
-class InstanceList:
-    """The platform's lagging list of instances."""
+class InstanceListClient:
+    """Client of the platform's list of instances, which lags behind."""
 
     def __init__(self, client: Client, cfg: Platform, timeout_s: float):
         self._client = client
@@ -149,30 +149,36 @@
         self._timeout_s = timeout_s
 
     async def members(self) -> list[Member]:
-        """Returns the instances listed; raises StoreError without answer."""
+        """Returns the listed instances.
+
+        Raises:
+            StoreError: if the service does not respond.
+        """
         reply = await _call(
             self._client,
             Exchange("GET", self._url, timeout_s=self._timeout_s),
         )
-        return _decoded(reply, _ListReply).instances
+        return _decode(reply, _ListReply).instances
 
 
 async def _call(client: Client, exchange: Exchange) -> Reply:
     try:
         reply = await client.call(exchange)
     except (NotSentError, BrokenError) as exc:
-        raise _unavailable(str(exc)) from exc
+        raise _unavailable_error(str(exc)) from exc
     if reply.status >= 500 or reply.status == 429:
-        raise _unavailable(f"status {reply.status}")
+        raise _unavailable_error(f"HTTP status {reply.status}")
     return reply
 
 
-def _decoded(reply: Reply, kind: type) -> Any:
+def _decode(reply: Reply, kind: type) -> Any:
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.MsgspecError as exc:
-        raise _unavailable(f"unreadable answer: {exc}") from exc
+        raise _unavailable_error(f"invalid response: {exc}") from exc
 
 
-def _unavailable(why: str) -> StoreError:
-    return StoreError(f"the platform did not answer: {why}", retry_s=RETRY_S)
+def _unavailable_error(why: str) -> StoreError:
+    return StoreError(
+        f"the platform is unavailable: {why}", retry_s=RETRY_AFTER_S
+    )
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes and builders for tests of the pure parts."""
+"""Builders of domain objects for tests of modules without I/O."""
 
 from typing import Any
 
@@ -21,7 +21,7 @@
 
 
 def waiting(ask_id: str, **fields: Any) -> Waiting:
-    """Returns a waiting request; unnamed fields have plain values."""
+    """Returns a queued request; fields not given have default values."""
     values: dict[str, Any] = {
         "entry": "entry",
         "rank": 1,
@@ -38,6 +38,6 @@
 
 
 def release(ask_id: str, **fields: Any) -> Release:
-    """Returns the end of a permit."""
+    """Returns the release of a permit."""
     values = {"tokens": 10.0, "failed": False, "step_s": 0.0}
     return Release(ask_id, "pool/0", **{**values, **fields})
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -173,14 +173,14 @@
     Safeguard(
         "the word of a leaving server goes round",
         "daemon",
-        "            self._note_server(server, leaving=True)\n",
+        "            self._publish_notice(server, leaving=True)\n",
         "            pass\n",
         "test_stopping.LeavingServerTest.test_refusal_excludes_server",
     ),
     Safeguard(
         "a planned stop waits for requests in progress",
         "daemon",
-        "return self.progress.count == 0 and self._claims.unrecorded == 0",
+        "return self.progress.count == 0 and self._claim_store.unrecorded == 0",
         "return True",
         "test_stopping.PlannedStopTest.test_streams_finish",
     ),
@@ -523,7 +523,7 @@
     Safeguard(
         "a stop is answered while the program loads",
         "stopsignals",
-        "        signal.signal(number, _end)\n",
+        "        signal.signal(number, _exit_on_signal)\n",
         "        pass\n",
         "test_starting.StartingTest.test_instance_on_the_platform",
     ),
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""What the tests of whole systems share."""
+"""Shared helpers for tests against a complete system."""
 
 import json
 import threading
@@ -17,10 +17,10 @@
 
 
 class SystemCase(unittest.TestCase):
-    """Base of tests that run against a whole system.
+    """Base class of tests that run against a complete system.
 
     Attributes:
-        options: What the system is made of; each class may set its own.
+        options: Composition of the system; subclasses may override it.
         system: The running system.
     """
 
@@ -34,19 +34,19 @@
         cls.system.start()
 
     def tearDown(self) -> None:
-        """A daemon may only end if a test ended it."""
+        """Fails if a daemon has exited that the test did not stop itself."""
         for daemon in self.system.daemons:
             if getattr(daemon, "ended", False):
                 continue
             status = daemon.popen.poll()
             self.assertIsNone(
                 status,
-                f"{daemon.name} ended with {status}:"
+                f"{daemon.name} exited with status {status}:"
                 f" {daemon.log.read_text()[-3000:]}",
             )
 
     def end(self, daemon: Daemon) -> None:
-        """Notes that the test itself ends a daemon."""
+        """Marks a daemon as stopped by the test itself."""
         daemon.ended = True
 
 
@@ -57,7 +57,7 @@
 
 
 def answer_to(prompt: str) -> str:
-    """Returns the text that a chat request must get."""
+    """Returns the expected response text of a chat request."""
     return whole_answer(chat_prompt([{"role": "user", "content": prompt}]))
 
 
@@ -68,7 +68,7 @@
     headers: dict[str, str] | None = None,
     **fields: Any,
 ) -> tuple[int, Any]:
-    """Sends a chat request for a whole answer."""
+    """Sends a chat request without streaming; returns status and body."""
     return call(
         "POST",
         daemon.url + "/v1/chat/completions",
@@ -80,20 +80,20 @@
 
 
 def text_of(body: Any) -> str:
-    """Returns the text of a whole chat answer."""
+    """Returns the text of a chat response that was not streamed."""
     return body["choices"][0]["message"]["content"]
 
 
 class Streamed:
-    """What a caller saw of a stream.
+    """The part of a stream that a caller received.
 
     Attributes:
         status: HTTP status.
         text: Text of all chunks.
         ids: Event ids in order.
-        error: Error event, if one came.
-        done: Whether [DONE] came.
-        broken: Whether the connection broke.
+        error: Error object, if one was received.
+        done: Whether [DONE] was received.
+        broken: Whether the connection failed.
     """
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the caller can take the answer as whole."""
+        """Whether the caller received a complete response."""
         return self.status == 200 and self.done and not self.error
 
 
@@ -118,10 +118,10 @@
     on_event: Callable[[Streamed], None] | None = None,
     **fields: Any,
 ) -> Streamed:
-    """Sends a chat request for a stream and reads it to its end."""
-    seen = Streamed()
+    """Sends a streamed chat request and reads the stream to its end."""
+    received = Streamed()
     content = json.dumps(chat_body(prompt, stream=True, **fields)).encode()
-    sent = {
+    request_headers = {
         "authorization": f"Bearer {key}",
         "content-length": str(len(content)),
         **(headers or {}),
@@ -130,47 +130,47 @@
         with httpcore.stream(
             "POST",
             daemon.url + "/v1/chat/completions",
-            headers=sent,
+            headers=request_headers,
             content=content,
             extensions={"timeout": TIMEOUT},
         ) as response:
-            seen.status = response.status
-            _read_events(response, seen, on_event)
+            received.status = response.status
+            _read_events(response, received, on_event)
     except (httpcore.NetworkError, httpcore.ProtocolError):
-        seen.broken = True
-    return seen
+        received.broken = True
+    return received
 
 
-def _read_events(response, seen: Streamed, on_event) -> None:
+def _read_events(response, received: Streamed, on_event) -> None:
     if response.status != 200:
-        seen.error = json.loads(response.read())["error"]
+        received.error = json.loads(response.read())["error"]
         return
     buffer = b""
     for part in response.iter_stream():
         buffer += part
         *events, buffer = buffer.split(b"\n\n")
         for event in events:
-            _take_event(event.decode(), seen)
+            _record_event(event.decode(), received)
             if on_event is not None:
-                on_event(seen)
+                on_event(received)
 
 
-def _take_event(event: str, seen: Streamed) -> None:
+def _record_event(event: str, received: Streamed) -> None:
     for line in event.split("\n"):
         name, _, value = line.partition(": ")
         if name == "id":
-            seen.ids.append(value)
+            received.ids.append(value)
         elif name == "data" and value == "[DONE]":
-            seen.done = True
+            received.done = True
         elif name == "data":
             data = json.loads(value)
-            seen.error = data.get("error") or seen.error
+            received.error = data.get("error") or received.error
             for choice in data.get("choices", []):
-                seen.text += choice["delta"].get("content", "")
+                received.text += choice["delta"].get("content", "")
 
 
 class Background:
-    """Runs a call in a thread; `result` waits for it."""
+    """Runs a function in a thread; `result` waits for its return value."""
 
     def __init__(self, action: Callable[..., Any], *args, **kwargs):
         self._value: Any = None
@@ -186,10 +186,10 @@
         self._thread.start()
 
     def result(self, timeout_s: float = 120.0) -> Any:
-        """Returns the value, or raises what the call raised."""
+        """Returns the value, or raises the exception of the function."""
         self._thread.join(timeout_s)
         if self._thread.is_alive():
-            raise TimeoutError("the call did not end")
+            raise TimeoutError("the background call did not finish in time")
         if self._error is not None:
             raise self._error
         return self._value
--- a/tests/test_security.py
+++ b/tests/test_security.py
@@ -93,7 +93,7 @@
     """Instances and operators use the certificates of the settings."""
 
     def test_instances_and_operators_over_tls(self) -> None:
-        # All instances and the operators' run_tool have certificates of one
+        # All instances and the operators' tool have certificates of one
         # authority. A peer without such a certificate is refused, even with
         # the right secret.
         authority = trustme.CA()
--- a/tests/virtualtime.py
+++ b/tests/virtualtime.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock jumps to the next timer.
+"""An event loop with a virtual clock that advances to the next timer.
 
-Tasks run as they are, in the same order each time, and an hour of waiting takes
-no time. For models without sockets: nothing may wait for the outside.
+Tasks run unchanged and in a deterministic order, and waiting takes no real
+time. The code under test must not use sockets or wait for external events.
 """
 
 import asyncio
@@ -12,8 +12,8 @@
 from typing import Any
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Lets time pass in place of waiting."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Selector that advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,36 +21,39 @@
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is None:
-            raise RuntimeError("all tasks wait for what never comes")
+            raise RuntimeError("deadlock: all tasks wait and no timer is set")
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
-class _VirtualLoop(asyncio.SelectorEventLoop):
+class _VirtualTimeLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
 def run(
     main: Callable[[], Awaitable[Any]], modules: tuple[types.ModuleType, ...]
 ) -> None:
-    """Runs a coroutine in virtual time.
+    """Runs a coroutine function in virtual time.
 
     Args:
-        main: The coroutine function.
-        modules: Modules whose clocks are to show that time, too.
+        main: Coroutine function to run.
+        modules: Modules whose clocks are patched to show the virtual time.
     """
-    with asyncio.Runner(loop_factory=_VirtualLoop) as runner:
+    with asyncio.Runner(loop_factory=_VirtualTimeLoop) as runner:
         now = runner.get_loop().time
         clock = types.SimpleNamespace(monotonic=now, time=now)
         patches = [
-            unittest.mock.patch.object(module, name, shown)
+            unittest.mock.patch.object(module, name, replacement)
             for module in modules
-            for name, shown in (("time", clock), ("now_s", clock.monotonic))
+            for name, replacement in (
+                ("time", clock),
+                ("now_s", clock.monotonic),
+            )
             if hasattr(module, name)
         ]
         for patch in patches:
