--- a/src/jasminerelay/peers.py
+++ b/src/jasminerelay/peers.py
@@ -106,6 +106,8 @@
 
 @dataclasses.dataclass
 class _BrokerLink:
+    """Both ends of a queue of outgoing frames, and the time of its last use."""
+
     frames: Any
     source: Any
     used_at: float
@@ -248,12 +250,12 @@
         self._server = grpc.aio.server()
         handlers = {
             "Permits": grpc.stream_stream_rpc_method_handler(
-                self._permits,
+                self._serve_permits,
                 request_deserializer=_decoder(EntryFrame),
                 response_serializer=_encode,
             ),
             "Manifest": grpc.unary_unary_rpc_method_handler(
-                self._fetch,
+                self._serve_manifest,
                 request_deserializer=_decoder(ManifestPointer),
                 response_serializer=_encode,
             ),
@@ -271,7 +273,7 @@
         """Stops without a grace period; clients switch to another broker."""
         await self._server.stop(None)
 
-    async def _permits(self, requests, context) -> None:
+    async def _serve_permits(self, requests, context) -> None:
         await self._authenticate(context)
         frames, source = anyio.create_memory_object_stream(MAX_QUEUED_FRAMES)
         entry = ""
@@ -307,7 +309,9 @@
                     self._broker_host.disconnect(entry, send)
                 group.cancel_scope.cancel()
 
-    async def _fetch(self, pointer: ManifestPointer, context) -> ManifestReply:
+    async def _serve_manifest(
+        self, pointer: ManifestPointer, context
+    ) -> ManifestReply:
         del pointer
         await self._authenticate(context)
         return self._manifest()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -80,7 +80,7 @@
             self.host.gone.clear()
             context = _FakeCallContext("authenticated", [None, error])
             with anyio.fail_after(5):
-                await self.server._permits(self.requests(2), context)
+                await self.server._serve_permits(self.requests(2), context)
             self.assertEqual(self.host.gone, ["client"])
             self.assertEqual(context.written, 1)
 
@@ -90,7 +90,7 @@
         # sends its full state again when it reconnects.
         context = _FakeCallContext("authenticated", [None], blocked=True)
         with anyio.fail_after(5):
-            await self.server._permits(
+            await self.server._serve_permits(
                 self.requests(MAX_QUEUED_FRAMES + 2), context
             )
         self.assertEqual(self.host.gone, ["client"])
@@ -103,7 +103,7 @@
         error = grpc.aio.InternalError()
         context = _FakeCallContext("unauthenticated", [], abort=error)
         with self.assertRaises(asyncio.CancelledError):
-            await self.server._permits(self.requests(1), context)
+            await self.server._serve_permits(self.requests(1), context)
         self.assertEqual(self.host.frames_taken, 0)
 
     async def requests(self, count: int):
