--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load, experiments and measurements."""
+"""Load generator, experiments and benchmarks."""
--- a/bench/background.py
+++ b/bench/background.py
@@ -140,10 +140,10 @@
 
 def main() -> None:
     """Prints mean and spread over seeds."""
-    args = figures.parser(__doc__)
-    args.add_argument("--seeds", type=int, default=5)
-    args.add_argument("--seconds", type=float, default=200.0)
-    options = args.parse_args()
+    parser = figures.argument_parser(__doc__)
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--seconds", type=float, default=200.0)
+    options = parser.parse_args()
     ways = {
         "no background": (lambda: Window(0), False),
         "fixed 4": (lambda: Window(4), False),
@@ -170,7 +170,7 @@
             )
         rows.append(row)
     figures.show(rows)
-    figures.keep(rows, options.out)
+    figures.write_json(rows, options.out)
 
 
 if __name__ == "__main__":
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -17,7 +17,7 @@
 import tabulate
 
 from bench import figures
-from bench.fakes import MODELS, cell_of, manifest_text, waiting_for
+from bench.fakes import MODELS, make_cell, make_queued_request, manifest_text
 from jasminerelay import burn, manifest
 from jasminerelay.broker import Broker
 from jasminerelay.membership import ALIVE, Membership
@@ -186,7 +186,7 @@
 def _serve(broker: Broker, clock, organisations: int = 10) -> None:
     number = next(clock)
     now = number * 1e-3
-    broker.ask(waiting_for(number, organisations, now), now)
+    broker.ask(make_queued_request(number, organisations, now), now)
     for decision in broker.step(now):
         message = decision.message
         if isinstance(message, Grant):
@@ -197,25 +197,25 @@
 
 
 def _broker_servers(count: int) -> float:
-    broker, clock = Broker(cell_of(count)), iter(range(10**9))
+    broker, clock = Broker(make_cell(count)), iter(range(10**9))
     return _cpu_us(lambda: _serve(broker, clock), 2000)
 
 
 def _broker_waiting(count: int) -> float:
-    broker = Broker(cell_of(8, slots=1))
+    broker = Broker(make_cell(8, slots=1))
     for number in range(8):
         broker.hold(
             Held(f"h{number}", "pool/0", f"s{number}", 1, False), "e", 0
         )
     for number in range(count):
-        broker.ask(waiting_for(10**8 + number, 10, 0.0), 0.0)
+        broker.ask(make_queued_request(10**8 + number, 10, 0.0), 0.0)
     holding = iter(range(10**9))
 
     def serve() -> None:
         number = next(holding)
         broker.release(Release(f"h{number}", "pool/0", 1.0, False, 0.0), 0.0)
         broker.step(0.0)
-        broker.ask(waiting_for(number, 10, 0.0), 0.0)
+        broker.ask(make_queued_request(number, 10, 0.0), 0.0)
         for decision in broker.step(0.0):
             del decision
         broker.hold(
@@ -226,15 +226,15 @@
 
 
 def _broker_organisations(count: int) -> float:
-    broker, clock = Broker(cell_of(8)), iter(range(10**9))
+    broker, clock = Broker(make_cell(8)), iter(range(10**9))
     return _cpu_us(lambda: _serve(broker, clock, count), 4000)
 
 
 def _broker_memory(count: int) -> float:
     def make() -> Broker:
-        broker = Broker(cell_of(8, slots=1))
+        broker = Broker(make_cell(8, slots=1))
         for number in range(count):
-            broker.ask(waiting_for(number, 100, 0.0), 0.0)
+            broker.ask(make_queued_request(number, 100, 0.0), 0.0)
         return broker
 
     return _bytes_held(make)
@@ -261,7 +261,7 @@
 
 
 def _report(permits: int) -> float:
-    broker = Broker(cell_of(8, slots=32))
+    broker = Broker(make_cell(8, slots=32))
     for number in range(permits):
         name = f"s{number % 8}"
         broker.hold(Held(str(number), "pool/0", name, 1, False), "e", 0.0)
@@ -477,8 +477,8 @@
 
 def main() -> None:
     """Prints the slopes and, with --out, writes them as JSON."""
-    args = figures.parser(__doc__)
-    options = args.parse_args()
+    parser = figures.argument_parser(__doc__)
+    options = parser.parse_args()
     slopes = measure_all()
     rows = [
         {
@@ -494,7 +494,7 @@
     ]
     print(tabulate.tabulate(rows, headers="keys", disable_numparse=True))
     encoded = [dataclasses.asdict(item) for item in slopes]
-    figures.keep(encoded, options.out)
+    figures.write_json(encoded, options.out)
 
 
 if __name__ == "__main__":
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -26,15 +26,15 @@
 
 def main() -> None:
     """Prints claims a second and their latency."""
-    args = figures.parser(__doc__)
-    args.add_argument("--seconds", type=float, default=5.0)
-    options = args.parse_args()
+    parser = figures.argument_parser(__doc__)
+    parser.add_argument("--seconds", type=float, default=5.0)
+    options = parser.parse_args()
     rows = []
     for counted in ("commits", "rows"):
         for callers in (10, 50, 200):
             rows.append(_run(counted, callers, options.seconds))
     figures.show(rows)
-    figures.keep(rows, options.out)
+    figures.write_json(rows, options.out)
 
 
 def _run(counted: str, callers: int, seconds: float) -> dict:
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,4 +1,4 @@
-"""Compares the versions side by side over several seeds.
+"""Compares the coordination versions over several seeds.
 
 Prints a table and, with --out, writes the summary as JSON.
 """
@@ -11,14 +11,14 @@
 
 
 def main() -> None:
-    """Runs what the arguments name."""
-    args = figures.parser(__doc__)
-    args.add_argument("--users", default="moreton,teixeira")
-    args.add_argument("--scenarios", default="calm,burst,overload")
-    args.add_argument("--versions", default=",".join(VERSIONS))
-    args.add_argument("--seeds", type=int, default=5)
-    args.add_argument("--seconds", type=float, default=20.0)
-    options = args.parse_args()
+    """Runs the selected users, scenarios and versions."""
+    parser = figures.argument_parser(__doc__)
+    parser.add_argument("--users", default="moreton,teixeira")
+    parser.add_argument("--scenarios", default="calm,burst,overload")
+    parser.add_argument("--versions", default=",".join(VERSIONS))
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--seconds", type=float, default=20.0)
+    options = parser.parse_args()
     summary = []
     for user in options.users.split(","):
         for name in options.scenarios.split(","):
@@ -44,25 +44,25 @@
                 rows.append(_row(version, fields))
             print(f"\n{user}, {name}")
             figures.show(rows)
-            figures.keep(summary, options.out)
+            figures.write_json(summary, options.out)
 
 
 def summarise(outcomes: list[experiment.Outcome]) -> dict:
-    """Returns mean, minimum and maximum of each figure."""
+    """Returns mean, minimum and maximum of each figure over the outcomes."""
     fields: dict = {}
     for field in dataclasses.fields(experiment.Outcome):
         values = [getattr(item, field.name) for item in outcomes]
         if isinstance(values[0], dict):
             fields[field.name] = {
-                key: _spread([value[key] for value in values])
+                key: _mean_and_range([value[key] for value in values])
                 for key in values[0]
             }
         elif values[0] is not None:
-            fields[field.name] = _spread(values)
+            fields[field.name] = _mean_and_range(values)
     return fields
 
 
-def _spread(values: list[float]) -> list[float]:
+def _mean_and_range(values: list[float]) -> list[float]:
     mean = statistics.mean(values)
     return [round(item, 5) for item in (mean, min(values), max(values))]
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -13,8 +13,8 @@
 import numpy
 
 from bench import figures
-from bench.load import Caller
-from bench.mix import MORETON, Kind, Planned
+from bench.load import LoadGenerator
+from bench.mix import MORETON, PlannedRequest, RequestKind
 from standins.launcher import Options, System, cpu_seconds
 
 DAEMONS = 6
@@ -25,8 +25,8 @@
 
 def main() -> None:
     """Prints processor time by rate, and the fitted cost of a request."""
-    args = figures.parser(__doc__)
-    options = args.parse_args()
+    parser = figures.argument_parser(__doc__)
+    options = parser.parse_args()
     rows = []
     for rate in RATES:
         naive = _run("naive", rate)
@@ -46,7 +46,7 @@
         extra = [row[name] - row["naive %"] for row in rows]
         slope, start = numpy.polyfit(RATES, extra, 1)
         print(f"{name}: {slope * 1e4:.0f} us a request, {start:.2f} % at 0")
-    figures.keep(rows, options.out)
+    figures.write_json(rows, options.out)
 
 
 def _run(version: str, rate: float) -> dict[str, float]:
@@ -57,11 +57,11 @@
         settings={"": {"coordination": version}},
     )
     rng = random.Random(1)
-    kind = Kind("chat", 1.0, 2, 0.0, "helper", "chat", 300, 256, 10)
+    kind = RequestKind("chat", 1.0, 2, 0.0, "helper", "chat", 300, 256, 10)
     schedule, at = [], 0.0
     while at < SECONDS:
         serial = rng.getrandbits(40)
-        schedule.append(Planned(at, kind, rng.randint(1, 10), 2, serial))
+        schedule.append(PlannedRequest(at, kind, rng.randint(1, 10), 2, serial))
         at += rng.expovariate(rate * DAEMONS)
     marks: list[list[float]] = []
     with System(options) as system:
@@ -74,7 +74,7 @@
             timer.start()
         urls = [daemon.url for daemon in system.daemons]
         started = time.monotonic()
-        caller = Caller(MORETON, urls, 1, comes_back=False)
+        caller = LoadGenerator(MORETON, urls, 1, retries_refused=False)
         asyncio.run(caller.run(schedule, 1.0))
         elapsed = time.monotonic() - started
         for timer in timers:
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -13,8 +13,8 @@
 import httpcore
 
 from bench import figures
-from bench.load import Caller
-from bench.mix import MORETON, Kind, Planned
+from bench.load import LoadGenerator
+from bench.mix import MORETON, PlannedRequest, RequestKind
 from jasminerelay import rendezvous
 from standins.launcher import Options, System, call
 
@@ -30,16 +30,16 @@
 
 def main() -> None:
     """Prints the figures of each way to lose the broker."""
-    args = figures.parser(__doc__)
-    args.add_argument("--seeds", type=int, default=3)
-    options = args.parse_args()
+    parser = figures.argument_parser(__doc__)
+    parser.add_argument("--seeds", type=int, default=3)
+    options = parser.parse_args()
     rows = [
         _run(way, seed)
         for way in ("none", "killed", "frozen", "drained")
         for seed in range(options.seeds)
     ]
     figures.show(rows)
-    figures.keep(rows, options.out)
+    figures.write_json(rows, options.out)
 
 
 def _run(way: str, seed: int) -> dict:
@@ -57,7 +57,7 @@
         urls = [daemon.url for daemon in others]
         excess = _Excess(system)
         threading.Timer(LOST_AT_S, _lose, (way, broker)).start()
-        caller = Caller(MORETON, urls, seed, comes_back=False)
+        caller = LoadGenerator(MORETON, urls, seed, retries_refused=False)
         started = time.monotonic()
         seen = asyncio.run(caller.run(_schedule(seed), 1.0))
         elapsed = time.monotonic() - started
@@ -78,15 +78,15 @@
     }
 
 
-def _schedule(seed: int) -> list[Planned]:
+def _schedule(seed: int) -> list[PlannedRequest]:
     rng = random.Random(seed)
-    kind = Kind("chat", 1.0, 12, 0.5, "helper", "chat", 300, 256, 10)
+    kind = RequestKind("chat", 1.0, 12, 0.5, "helper", "chat", 300, 256, 10)
     schedule, at = [], 0.0
     while at < SECONDS:
         tokens = rng.randint(6, 18)
         organisation = rng.randint(1, 10)
         serial = rng.getrandbits(40)
-        schedule.append(Planned(at, kind, organisation, tokens, serial))
+        schedule.append(PlannedRequest(at, kind, organisation, tokens, serial))
         at += rng.expovariate(RATE)
     return schedule
 
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,4 +1,4 @@
-"""Small inputs for measurements of single parts."""
+"""Synthetic inputs for benchmarks of single components."""
 
 import hashlib
 
@@ -10,17 +10,23 @@
 CLASSES = 5
 
 
-def cell_of(servers: int, slots: int = 8) -> Cell:
-    """Returns a cell of like servers."""
-    made = tuple(
+def make_cell(servers: int, slots: int = 8) -> Cell:
+    """Returns a cell of servers that differ only in name and zone."""
+    server_list = tuple(
         Server(f"s{number}", "127.0.0.1:1", f"zone-{number % 5}", slots)
         for number in range(servers)
     )
-    return Cell("pool/0", made, 2000)
+    return Cell("pool/0", server_list, 2000)
 
 
-def waiting_for(number: int, organisations: int, now: float) -> Waiting:
-    """Returns a waiting request of one of many organisations."""
+def make_queued_request(number: int, organisations: int, now: float) -> Waiting:
+    """Returns a queued request.
+
+    Args:
+        number: Number that determines id, class, instance and organisation.
+        organisations: Number of organisations to spread the requests over.
+        now: Current time in seconds.
+    """
     rank = number % CLASSES + 1
     return Waiting(
         f"{number:016d}",
@@ -40,7 +46,7 @@
 
 
 def manifest_text(organisations: int, servers: int) -> str:
-    """Returns a manifest with as many organisations and backend servers."""
+    """Returns a manifest with this many organisations and backend servers."""
     parts = [
         f'[[classes]]\nname = "class-{n}"\nrank = {n + 1}\n'
         f"target_s = {n + 1}.0\n"
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""What all measurements share: the file for their figures, and the table."""
+"""Command-line option and output formats common to all benchmarks."""
 
 import argparse
 import json
@@ -9,13 +9,17 @@
 import tabulate
 
 
-def parser(doc: str | None) -> argparse.ArgumentParser:
-    """Returns a parser with the option for the file of figures."""
-    args = argparse.ArgumentParser(description=doc)
-    args.add_argument(
-        "--out", type=pathlib.Path, help="file for the figures, as JSON"
+def argument_parser(doc: str | None) -> argparse.ArgumentParser:
+    """Returns a parser with the option --out.
+
+    Args:
+        doc: Description of the benchmark.
+    """
+    parser = argparse.ArgumentParser(description=doc)
+    parser.add_argument(
+        "--out", type=pathlib.Path, help="file to write the figures to, as JSON"
     )
-    return args
+    return parser
 
 
 def show(rows: Sequence[dict[str, Any]]) -> None:
@@ -23,7 +27,7 @@
     print(tabulate.tabulate(rows, headers="keys"), flush=True)
 
 
-def keep(figures: Any, out: pathlib.Path | None) -> None:
-    """Writes figures, if there is a file for them."""
+def write_json(figures: Any, out: pathlib.Path | None) -> None:
+    """Writes figures as JSON to the file `out`, if it is given."""
     if out:
         out.write_text(json.dumps(figures, indent=1) + "\n")
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,9 +1,10 @@
-"""Measures what one daemon adds, against a direct connection to the engine.
+"""Measures the latency and processor time that one daemon adds.
 
-Open loop: as many requests a second, and tokens a second, as one daemon gets
-at the size designed for, over a few engines, as the streams of one daemon do
-not step together. Figures are of the time after the first answers are done.
-Direct and relayed runs take turns.
+Compares requests through a daemon with requests sent to the engines directly.
+The load is open loop, with the requests and tokens a second of one daemon at
+the design size. It goes to several engines because the streams of one daemon
+do not decode in lock step. Processor time is measured after the warm-up, when
+the first answers have ended. Direct and relayed runs alternate.
 """
 
 import asyncio
@@ -13,38 +14,38 @@
 import time
 
 from bench import figures
-from bench.load import Caller, Seen
-from bench.mix import MORETON, Kind, Planned
+from bench.load import LoadGenerator, RequestResult
+from bench.mix import MORETON, PlannedRequest, RequestKind
 from standins.launcher import Daemon, Options, System, cpu_seconds
 
 REQUESTS_PER_S = 9.0
 TOKENS = 305
 STEP_MS = 32.0
 WARM_UP_S = 12.0
-"""Time after which as many streams end as begin."""
+"""Time until streams end at the rate at which they begin."""
 
 
 def main() -> None:
-    """Runs the comparison and prints the figures."""
-    args = figures.parser(__doc__)
-    args.add_argument("--rounds", type=int, default=3)
-    args.add_argument("--seconds", type=float, default=30.0)
-    options = args.parse_args()
+    """Prints the median figures of direct and relayed runs."""
+    parser = figures.argument_parser(__doc__)
+    parser.add_argument("--rounds", type=int, default=3)
+    parser.add_argument("--seconds", type=float, default=30.0)
+    options = parser.parse_args()
     results: dict[str, list[dict]] = {"direct": [], "relayed": []}
     for seed in range(options.rounds):
-        for way in results:
-            results[way].append(_run(way, seed, options.seconds))
+        for path in results:
+            results[path].append(_run(path, seed, options.seconds))
     rows = []
-    for way, runs in results.items():
-        row = {"way": way}
+    for path, runs in results.items():
+        row = {"way": path}
         for name in runs[0]:
             row[name] = round(statistics.median(r[name] for r in runs), 4)
         rows.append(row)
     figures.show(rows)
-    figures.keep(results, options.out)
+    figures.write_json(results, options.out)
 
 
-def _run(way: str, seed: int, seconds: float) -> dict[str, float]:
+def _run(path: str, seed: int, seconds: float) -> dict[str, float]:
     options = Options(
         daemons=1,
         max_services=1,
@@ -62,51 +63,53 @@
         ),
     )
     rng = random.Random(seed)
-    kind = Kind("chat", 1.0, TOKENS, 0.2, "helper", "chat", 400, 256, 10)
+    kind = RequestKind("chat", 1.0, TOKENS, 0.2, "helper", "chat", 400, 256, 10)
     schedule, at = [], 0.0
     while at < seconds:
         tokens = round(TOKENS * rng.uniform(0.8, 1.2))
         organisation = rng.randint(1, 10)
         serial = rng.getrandbits(40)
-        schedule.append(Planned(at, kind, organisation, tokens, serial))
+        schedule.append(PlannedRequest(at, kind, organisation, tokens, serial))
         at += rng.expovariate(REQUESTS_PER_S)
     with System(options) as system:
         daemon = system.daemons[0]
         urls = [system.processes[f"model-{n + 1}"].url for n in range(6)]
-        if way == "relayed":
+        if path == "relayed":
             urls = [daemon.url]
-        caller = Caller(MORETON, urls, seed, comes_back=False)
-        meter = _Meter(daemon, WARM_UP_S, seconds)
-        seen = asyncio.run(caller.run(schedule, 1.0))
-        cpu = meter.share()
-    return _figures(seen, cpu)
+        generator = LoadGenerator(MORETON, urls, seed, retries_refused=False)
+        cpu_meter = _CpuMeter(daemon, WARM_UP_S, seconds)
+        request_results = asyncio.run(generator.run(schedule, 1.0))
+        cpu = cpu_meter.share()
+    return _summarise(request_results, cpu)
 
 
-class _Meter:
-    """Measures the daemon's processor time in the steady part of a run."""
+class _CpuMeter:
+    """Measures the daemon's processor time from start_s to end_s."""
 
     def __init__(self, daemon: Daemon, start_s: float, end_s: float):
         self._daemon = daemon
-        self._marks: list[tuple[float, float]] = []
+        self._samples: list[tuple[float, float]] = []
         for delay in (start_s, end_s):
-            threading.Timer(delay, self._mark).start()
+            threading.Timer(delay, self._sample).start()
 
-    def _mark(self) -> None:
-        self._marks.append((time.monotonic(), cpu_seconds(self._daemon)))
+    def _sample(self) -> None:
+        self._samples.append((time.monotonic(), cpu_seconds(self._daemon)))
 
     def share(self) -> float:
-        """Returns processor seconds a second."""
-        (start, before), (end, after) = self._marks
+        """Returns processor seconds a second between the two samples."""
+        (start, before), (end, after) = self._samples
         return (after - before) / (end - start)
 
 
-def _figures(seen: list[Seen], cpu: float) -> dict[str, float]:
-    first = sorted(item.first_s for item in seen)
-    gaps = sorted(gap for item in seen for gap in item.gaps)
+def _summarise(
+    request_results: list[RequestResult], cpu: float
+) -> dict[str, float]:
+    first = sorted(item.first_s for item in request_results)
+    gaps = sorted(gap for item in request_results for gap in item.gaps)
     tokens_per_s = REQUESTS_PER_S * TOKENS
     return {
-        "requests": len(seen),
-        "failed": sum(not item.whole for item in seen),
+        "requests": len(request_results),
+        "failed": sum(not item.whole for item in request_results),
         "tokens/s": tokens_per_s,
         "first p50 ms": first[len(first) // 2] * 1000,
         "first p95 ms": first[int(len(first) * 0.95)] * 1000,
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Sends a schedule at a system, open loop, and keeps what callers saw."""
+"""Open-loop load generator that records the result of each request."""
 
 import asyncio
 import dataclasses
@@ -8,36 +8,41 @@
 
 import httpcore
 
-from bench.mix import Planned, User
+from bench.mix import PlannedRequest, User
 from standins.engine import chat_prompt, whole_answer
 
-MAX_RETURNS = 3
+MAX_RETRIES = 3
 MAX_RESUMES = 4
 AVOID_S = 3.0
-"""Time for which a caller keeps away from an instance that did not answer."""
+"""Time for which no requests go to an instance that failed to answer."""
 GRACE_S = 20.0
 TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass
-class Seen:
-    """What one caller saw.
+class RequestResult:
+    """Result of one request, as its caller sees it.
 
     Attributes:
         planned: The request.
-        first_s: Time to the first token from its planned time; 0 if none.
-        done_s: Time to the whole answer; 0 if none.
-        whole: Whether the whole right answer came.
-        wrong: Whether a wrong answer came that looked whole.
-        status: Last HTTP status; 0 if the connection broke.
-        tries: Times that it was sent.
-        resumes: Times that its caller took it up at another instance.
-        gaps: Seconds between tokens.
+        first_s: Seconds from the planned send time to the first token; 0 if
+            there was none.
+        answer_s: Seconds from the planned send time to the end of the answer;
+            0 if the answer was incomplete or wrong.
+        whole: Whether the answer was complete and correct.
+        wrong: Whether the answer ended normally but its text was wrong.
+        status: Last HTTP status; 0 if the connection failed.
+        tries: Number of times that the request was sent.
+        resumes: Number of times that the request was sent again, to any
+            instance, after a connection failure.
+        text: Text received so far.
+        event_id: Id of the last event received, from which to resume.
+        gaps: Seconds between consecutive tokens.
     """
 
-    planned: Planned
+    planned: PlannedRequest
     first_s: float = 0.0
-    done_s: float = 0.0
+    answer_s: float = 0.0
     whole: bool = False
     wrong: bool = False
     status: int = 0
@@ -48,64 +53,80 @@
     gaps: list[float] = dataclasses.field(default_factory=list)
 
 
-class Caller:
-    """Sends requests to the instances of the entry list."""
+class LoadGenerator:
+    """Sends requests to randomly chosen instances.
+
+    Args:
+        user: User whose API keys the requests carry.
+        urls: Addresses of the instances.
+        seed: Seed of the choice of instances.
+        retries_refused: Whether to retry a refused request with the ticket that
+            came with the refusal.
+    """
 
     def __init__(
-        self, user: User, urls: list[str], seed: int, *, comes_back: bool
+        self, user: User, urls: list[str], seed: int, *, retries_refused: bool
     ):
         self._user = user
         self._urls = urls
         self._rng = random.Random(seed)
-        self._comes_back = comes_back
-        self._avoided: dict[str, float] = {}
+        self._retries_refused = retries_refused
+        self._avoided_until: dict[str, float] = {}
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=2000, max_keepalive_connections=400
         )
 
-    async def run(self, schedule: list[Planned], scale: float) -> list[Seen]:
-        """Sends everything at its time; returns what was seen."""
+    async def run(
+        self, schedule: list[PlannedRequest], scale: float
+    ) -> list[RequestResult]:
+        """Sends each request at its planned time; returns all results.
+
+        Args:
+            schedule: Requests to send.
+            scale: Factor on the planned times.
+        """
         start = time.monotonic()
-        seen = [Seen(item) for item in schedule]
+        results = [RequestResult(item) for item in schedule]
         async with asyncio.TaskGroup() as group:
-            for item in seen:
+            for item in results:
                 delay = start + item.planned.at * scale - time.monotonic()
                 if delay > 0:
                     await asyncio.sleep(delay)
                 due = start + item.planned.at * scale
                 group.create_task(self._send(item, due))
         await self._pool.aclose()
-        return seen
+        return results
 
-    async def _send(self, seen: Seen, due: float) -> None:
+    async def _send(self, result: RequestResult, due: float) -> None:
         headers: dict[str, str] = {}
-        returns = MAX_RETURNS * self._comes_back
+        retries_left = MAX_RETRIES * self._retries_refused
         while True:
-            seen.tries += 1
-            retry_s = await self._try(seen, due, headers)
-            if seen.status == 0 and seen.resumes < MAX_RESUMES:
-                # The instance died; take the stream up at another one.
-                seen.resumes += 1
-                if seen.event_id:
-                    headers["last-event-id"] = seen.event_id
+            result.tries += 1
+            retry_s = await self._attempt(result, due, headers)
+            if result.status == 0 and result.resumes < MAX_RESUMES:
+                # The connection failed: resume the stream, mostly at another
+                # instance, since this one is avoided for a while.
+                result.resumes += 1
+                if result.event_id:
+                    headers["last-event-id"] = result.event_id
                 continue
-            if retry_s is None or not returns:
+            if retry_s is None or not retries_left:
                 return
-            returns -= 1
+            retries_left -= 1
             await asyncio.sleep(retry_s)
 
     def _pick(self) -> str:
         now = time.monotonic()
-        usable = [
-            url for url in self._urls if self._avoided.get(url, 0.0) < now
+        available = [
+            url for url in self._urls if self._avoided_until.get(url, 0.0) < now
         ]
-        return self._rng.choice(usable or self._urls)
+        return self._rng.choice(available or self._urls)
 
-    async def _try(
-        self, seen: Seen, due: float, headers: dict[str, str]
+    async def _attempt(
+        self, result: RequestResult, due: float, headers: dict[str, str]
     ) -> float | None:
-        """Sends once; returns when to come back, or None."""
-        planned = seen.planned
+        """Sends once; returns the delay of the retry, or None for no retry."""
+        planned = result.planned
         body = {
             "model": planned.kind.model,
             "messages": [{"role": "user", "content": planned.prompt}],
@@ -113,41 +134,43 @@
         }
         content = json.dumps(body).encode()
         key = f"{self._user.key_prefix}-key-{planned.organisation:02d}"
-        sent = {
+        request_headers = {
             "authorization": f"Bearer {key}",
             "content-length": str(len(content)),
             "x-class": planned.kind.class_name,
             **headers,
         }
         if planned.kind.request_type:
-            sent["x-request-type"] = planned.kind.request_type
+            request_headers["x-request-type"] = planned.kind.request_type
         url = self._pick()
         timeout = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_S)
         try:
             async with self._pool.stream(
                 "POST",
                 url + "/v1/chat/completions",
-                headers=sent,
+                headers=request_headers,
                 content=content,
                 extensions={"timeout": timeout},
             ) as response:
-                seen.status = response.status
+                result.status = response.status
                 if response.status == 200:
-                    await self._read(seen, due, response, body)
+                    await self._read_stream(result, due, response, body)
                     return None
                 await response.aread()
-                return self._retry_s(response, headers)
+                return self._retry_delay_s(response, headers)
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
             httpcore.TimeoutException,
         ):
-            seen.status = 0
-            self._avoided[url] = time.monotonic() + AVOID_S
+            result.status = 0
+            self._avoided_until[url] = time.monotonic() + AVOID_S
             return None
 
-    async def _read(self, seen: Seen, due: float, response, body) -> None:
-        done, last = False, 0.0
+    async def _read_stream(
+        self, result: RequestResult, due: float, response, body
+    ) -> None:
+        done, last_token_at = False, 0.0
         buffer = b""
         async for part in response.aiter_stream():
             now = time.monotonic()
@@ -156,26 +179,26 @@
             for event in events:
                 head, _, line = event.rpartition(b"data: ")
                 if head.startswith(b"id: "):
-                    seen.event_id = head[4:].strip().decode()
+                    result.event_id = head[4:].strip().decode()
                 if line == b"[DONE]":
                     done = True
                     continue
                 for choice in json.loads(line).get("choices", []):
                     token = choice["delta"].get("content", "")
-                    if token and not seen.first_s:
-                        seen.first_s = now - due
-                    elif token and last:
-                        seen.gaps.append(now - last)
-                    last = now
-                    seen.text += token
-        right = whole_answer(chat_prompt(body["messages"]))
-        seen.whole = done and seen.text == right
-        seen.wrong = done and seen.text != right
-        if seen.whole:
-            seen.done_s = time.monotonic() - due
-
-    def _retry_s(self, response, headers: dict[str, str]) -> float | None:
-        if not self._comes_back:
+                    if token and not result.first_s:
+                        result.first_s = now - due
+                    elif token and last_token_at:
+                        result.gaps.append(now - last_token_at)
+                    last_token_at = now
+                    result.text += token
+        expected = whole_answer(chat_prompt(body["messages"]))
+        result.whole = done and result.text == expected
+        result.wrong = done and result.text != expected
+        if result.whole:
+            result.answer_s = time.monotonic() - due
+
+    def _retry_delay_s(self, response, headers: dict[str, str]) -> float | None:
+        if not self._retries_refused:
             return None
         found = dict(response.headers)
         ticket = found.get(b"x-return-ticket")
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -1,25 +1,25 @@
-"""What the two users send: classes, sizes and shares of the load."""
+"""Request mixes of the two users, and schedules drawn from them."""
 
 import dataclasses
 import random
 
 
 @dataclasses.dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
     Attributes:
-        class_name: Class that serves it.
-        share: Share of the offered tokens.
+        class_name: Class that the requests belong to.
+        share: Fraction of the offered output tokens.
         tokens: Mean answer length in tokens.
         spread: Answer lengths go from tokens * (1 - spread) to
             tokens * (1 + spread).
-        model: Model that it names.
+        model: Model named in the request.
         request_type: Request type, or "" for the model's default.
-        prompt_chars: Length of the prompt.
-        shared_chars: Leading part of the prompt that all of an organisation
-            share.
-        organisations: Number of organisations that send it.
+        prompt_chars: Length of the prompt in characters.
+        shared_chars: Length of the prompt prefix that all requests of an
+            organisation have in common.
+        organisations: Number of organisations that send such requests.
     """
 
     class_name: str
@@ -35,20 +35,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class User:
-    """A user: its manifest and its mix.
+    """A user of the router, with its manifest and its request mix.
 
     Attributes:
         name: Short name.
-        example: Manifest.
-        key_prefix: Prefix of its sample keys.
-        kinds: What it sends, highest class first.
-        burst_class: Class that a burst comes from.
+        example: File name of the manifest in examples/.
+        key_prefix: Prefix of the sample API keys.
+        kinds: Kinds of requests, highest class first.
+        burst_class: Class of the requests of a burst.
     """
 
     name: str
     example: str
     key_prefix: str
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     burst_class: str
 
 
@@ -57,10 +57,14 @@
     "moreton-bay.toml",
     "moreton",
     (
-        Kind("confirmation", 0.10, 8, 0.5, "helper", "confirm", 300, 256, 10),
-        Kind("classifier", 0.05, 3, 0.5, "helper", "classify", 300, 256, 10),
-        Kind("chat", 0.50, 40, 0.8, "helper", "chat", 800, 512, 10),
-        Kind("run-sheet", 0.35, 150, 0.3, "drafter", "", 2000, 1024, 2),
+        RequestKind(
+            "confirmation", 0.10, 8, 0.5, "helper", "confirm", 300, 256, 10
+        ),
+        RequestKind(
+            "classifier", 0.05, 3, 0.5, "helper", "classify", 300, 256, 10
+        ),
+        RequestKind("chat", 0.50, 40, 0.8, "helper", "chat", 800, 512, 10),
+        RequestKind("run-sheet", 0.35, 150, 0.3, "drafter", "", 2000, 1024, 2),
     ),
     "chat",
 )
@@ -70,9 +74,15 @@
     "teixeira.toml",
     "teixeira",
     (
-        Kind("filing-check", 0.15, 8, 0.5, "drafting", "check", 300, 256, 10),
-        Kind("notice", 0.40, 40, 0.8, "drafting", "notice", 1200, 512, 10),
-        Kind("study", 0.45, 150, 0.3, "drafting", "study", 2400, 1024, 10),
+        RequestKind(
+            "filing-check", 0.15, 8, 0.5, "drafting", "check", 300, 256, 10
+        ),
+        RequestKind(
+            "notice", 0.40, 40, 0.8, "drafting", "notice", 1200, 512, 10
+        ),
+        RequestKind(
+            "study", 0.45, 150, 0.3, "drafting", "study", 2400, 1024, 10
+        ),
     ),
     "notice",
 )
@@ -81,44 +91,44 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Planned:
-    """A request with the time at which it is sent.
+class PlannedRequest:
+    """A request and the time at which it is to be sent.
 
     Attributes:
-        at: Seconds after the start.
-        kind: Its kind.
-        organisation: Number of its organisation, from 1.
-        tokens: Length of its answer.
-        serial: Number that makes its prompt its own.
+        at: Seconds after the start of the run.
+        kind: Kind of the request.
+        organisation: Number of the organisation that sends it, from 1.
+        tokens: Length of the answer in tokens.
+        serial: Random number that makes the prompt unique.
     """
 
     at: float
-    kind: Kind
+    kind: RequestKind
     organisation: int
     tokens: int
     serial: int
 
     @property
     def prompt(self) -> str:
-        """Prompt, with the part that its organisation shares in front."""
+        """Prompt, starting with the prefix that the organisation shares."""
         shared = f"{self.kind.class_name} of {self.organisation}. "
         shared = (shared * (self.kind.shared_chars // len(shared) + 1))[
             : self.kind.shared_chars
         ]
-        own = f"number {self.serial} [len={self.tokens}] "
-        return (shared + own).ljust(self.kind.prompt_chars, ".")
+        unique = f"number {self.serial} [len={self.tokens}] "
+        return (shared + unique).ljust(self.kind.prompt_chars, ".")
 
 
 @dataclasses.dataclass(frozen=True)
 class Burst:
-    """More load of one class or organisation for a while.
+    """Additional load from one class for part of a run.
 
     Attributes:
-        class_name: Class that it comes from.
-        tokens_per_s: Tokens offered on top.
-        start: Share of the run after which it starts.
-        end: Share of the run after which it ends.
-        organisation: Organisation that sends it; 0 for all.
+        class_name: Class of the requests.
+        tokens_per_s: Output tokens a second offered in addition.
+        start: Start, as a fraction of the run.
+        end: End, as a fraction of the run.
+        organisation: Organisation that sends the requests; 0 for all.
     """
 
     class_name: str
@@ -128,22 +138,30 @@
     organisation: int = 0
 
 
-def plan(
+def plan_requests(
     user: User,
     tokens_per_s: float,
     seconds: float,
     bursts: tuple[Burst, ...],
     rng: random.Random,
-) -> list[Planned]:
-    """Returns an open-loop schedule with Poisson arrivals."""
-    requests: list[Planned] = []
+) -> list[PlannedRequest]:
+    """Returns an open-loop schedule with Poisson arrivals.
+
+    Args:
+        user: User whose request mix is drawn from.
+        tokens_per_s: Output tokens a second offered, without the bursts.
+        seconds: Length of the schedule.
+        bursts: Load in addition.
+        rng: Source of random numbers.
+    """
+    requests: list[PlannedRequest] = []
     for kind in user.kinds:
         rate = tokens_per_s * kind.share / kind.tokens
-        _arrivals(requests, kind, rate, 0.0, seconds, 0, rng)
+        _add_arrivals(requests, kind, rate, 0.0, seconds, 0, rng)
     kinds = {kind.class_name: kind for kind in user.kinds}
     for burst in bursts:
         kind = kinds[burst.class_name]
-        _arrivals(
+        _add_arrivals(
             requests,
             kind,
             burst.tokens_per_s / kind.tokens,
@@ -155,9 +173,9 @@
     return sorted(requests, key=lambda item: item.at)
 
 
-def _arrivals(
-    requests: list[Planned],
-    kind: Kind,
+def _add_arrivals(
+    requests: list[PlannedRequest],
+    kind: RequestKind,
     rate: float,
     start: float,
     end: float,
@@ -169,11 +187,11 @@
         low = kind.tokens * (1 - kind.spread)
         high = kind.tokens * (1 + kind.spread)
         requests.append(
-            Planned(
+            PlannedRequest(
                 at,
                 kind,
-                # The first organisations are the large ones: half the load.
-                organisation or _organisation(kind.organisations, rng),
+                # Half of the load comes from the first three organisations.
+                organisation or _pick_organisation(kind.organisations, rng),
                 max(1, round(rng.uniform(low, high))),
                 rng.getrandbits(40),
             )
@@ -181,7 +199,7 @@
         at += rng.expovariate(rate)
 
 
-def _organisation(count: int, rng: random.Random) -> int:
+def _pick_organisation(count: int, rng: random.Random) -> int:
     large = min(3, count)
     if rng.random() < 0.5 or count <= large:
         return rng.randint(1, large)
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Makes tables and plots from the summaries of bench.compare.
+"""Writes tables and plots from the summaries of bench.compare.
 
 Usage: python -m bench.report FOLDER SUMMARY.json [SUMMARY.json ...]
 """
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Writes summary, tables and a plot for each user and version."""
+    """Writes one summary, the tables and a plot for each user and version."""
     folder = pathlib.Path(sys.argv[1])
     folder.mkdir(parents=True, exist_ok=True)
     runs = [
@@ -36,9 +36,9 @@
     (folder / "summary.json").write_text(json.dumps(runs, indent=1) + "\n")
     (folder / "TABLES.md").write_text(_tables(runs))
     for user in sorted({run["user"] for run in runs}):
-        mine = [run for run in runs if run["user"] == user]
-        for version in sorted({run["version"] for run in mine}):
-            _draw(folder, user, version, mine)
+        user_runs = [run for run in runs if run["user"] == user]
+        for version in sorted({run["version"] for run in user_runs}):
+            _write_plot(folder, user, version, user_runs)
 
 
 def _tables(runs: list[dict]) -> str:
@@ -67,26 +67,26 @@
 def _table(group: list[dict]) -> list[str]:
     classes = sorted(group[0]["attainment"])
     figures = [item for item in _FIGURES if item[0] in group[0]]
-    head = ["version", *classes, *(title for _, title, _ in figures)]
+    header = ["version", *classes, *(title for _, title, _ in figures)]
     lines = [
-        "| " + " | ".join(head) + " |",
-        "| " + " | ".join("---" for _ in head) + " |",
+        "| " + " | ".join(header) + " |",
+        "| " + " | ".join("---" for _ in header) + " |",
     ]
     for run in group:
         cells = [run["version"]]
         for name in classes:
             mean, low, high = run["attainment"][name]
             cells.append(f"{mean:.3f} ({low:.2f}-{high:.2f})")
-        for name, _, form in figures:
-            cells.append(form.format(run[name][0]))
+        for name, _, number_format in figures:
+            cells.append(number_format.format(run[name][0]))
         lines.append("| " + " | ".join(cells) + " |")
     return [*lines, ""]
 
 
-def _draw(
+def _write_plot(
     folder: pathlib.Path, user: str, version: str, runs: list[dict]
 ) -> None:
-    shown = [run for run in runs if run["version"] == version]
+    version_runs = [run for run in runs if run["version"] == version]
     chart = pygal.Bar(
         title=f"{user}, {version}: attainment by scenario",
         js=[],
@@ -95,9 +95,13 @@
         range=(0, 1),
         x_label_rotation=20,
     )
-    chart.x_labels = [run["scenario"] for run in shown]
-    for name in sorted({name for run in shown for name in run["attainment"]}):
-        values = [run["attainment"].get(name, [None])[0] for run in shown]
+    chart.x_labels = [run["scenario"] for run in version_runs]
+    for name in sorted(
+        {name for run in version_runs for name in run["attainment"]}
+    ):
+        values = [
+            run["attainment"].get(name, [None])[0] for run in version_runs
+        ]
         chart.add(name, values)
     text = chart.render(is_unicode=True, disable_xml_declaration=True)
     path = folder / f"{user}-{version}.svg"
