--- a/bench/background.py
+++ b/bench/background.py
@@ -1,11 +1,13 @@
-"""Compares ways to bound background work on one engine, in simulated time.
-
-The engine's step takes longer the more streams run. Foreground requests come
-in bursts; background work never ends. Compared: a fixed window of background
-streams, the window control of Key, Massoulie and Wang ("Emulating
-Low-priority Transport at the Application Layer", SIGMETRICS 2004) by binary
-search for the point where goodput for each stream bends, and preemption of
-background streams when a foreground request finds no slot.
+"""Compares limits on background work on one engine, in simulated time.
+
+The step time of the engine grows with the number of running streams.
+Foreground requests arrive in bursts; there is always background work. The
+limits compared are a fixed window, that is a maximum number of background
+streams; the window control of Key, Massoulie and Wang ("Emulating
+Low-priority Transport at the Application Layer", SIGMETRICS 2004), which finds
+by binary search the window at which goodput per stream starts to fall; and
+each of them with preemption of background streams by foreground requests that
+find no free slot.
 """
 
 import dataclasses
@@ -19,24 +21,25 @@
 STEP_PER_STREAM_S = 0.001
 FOREGROUND_TOKENS = (10, 70)
 GAP_TARGET_S = 0.033
-FIRST_TARGET_S = 0.25
+FIRST_TOKEN_TARGET_S = 0.25
 BURST_S = 4.0
-QUIET_RATE = 2.0
-BURST_RATE = 8.0
+QUIET_REQUESTS_PER_S = 2.0
+BURST_REQUESTS_PER_S = 8.0
 PERIOD_S = 1.0
-ALPHA = 0.2
-"""Loss of goodput for each stream, relative to a window of one, that counts
-as the bend."""
+MAX_GOODPUT_LOSS = 0.2
+"""Loss of goodput per stream above which the window is too large, relative to
+the best goodput per stream so far, which a window of one gives."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Figures:
-    """What a run gave.
+    """Figures of one run.
 
     Attributes:
-        first_met: Share of foreground requests whose first token came within
-            FIRST_TARGET_S.
-        gap_met: Share of foreground gaps within GAP_TARGET_S.
+        first_met: Fraction of foreground requests with their first token
+            within FIRST_TOKEN_TARGET_S.
+        gap_met: Fraction of the times between foreground tokens that are
+            within GAP_TARGET_S.
         background: Background tokens a second.
         goodput: All tokens a second.
     """
@@ -48,30 +51,35 @@
 
 
 class Window:
-    """Most background streams; a fixed number."""
+    """Fixed maximum number of background streams."""
 
     def __init__(self, size: int):
         self.size = size
 
-    def measured(self, tokens: int, streams: float) -> None:
-        """Takes the goodput of a period; a fixed window ignores it."""
+    def record_period(self, tokens: int, streams: float) -> None:
+        """Updates the window after a period; a fixed window stays as it is.
+
+        Args:
+            tokens: Background tokens computed in the period.
+            streams: Mean number of background streams.
+        """
 
 
 class BinarySearch(Window):
-    """Follows the bend of the normalised goodput."""
+    """Window at which goodput per background stream starts to fall."""
 
     def __init__(self) -> None:
         super().__init__(1)
         self._low, self._high = 1, SLOTS
-        self._best = 0.0
+        self._best_goodput = 0.0
 
-    def measured(self, tokens: int, streams: float) -> None:
-        """Moves the window towards the bend."""
+    def record_period(self, tokens: int, streams: float) -> None:
+        """Moves the window by one step of the binary search."""
         if streams < 0.5:
             return
-        normalised = tokens / streams / PERIOD_S
-        self._best = max(self._best * 0.99, normalised)
-        if normalised >= (1 - ALPHA) * self._best:
+        stream_goodput = tokens / streams / PERIOD_S
+        self._best_goodput = max(self._best_goodput * 0.99, stream_goodput)
+        if stream_goodput >= (1 - MAX_GOODPUT_LOSS) * self._best_goodput:
             self._low = self.size
         else:
             self._high = self.size
@@ -84,21 +92,29 @@
 def simulate(
     window: Window, seed: int, seconds: float, *, preempts: bool
 ) -> Figures:
-    """Runs one engine in simulated time."""
+    """Runs one engine in simulated time.
+
+    Args:
+        window: Limit on background streams.
+        seed: Seed of the foreground arrivals.
+        seconds: Simulated duration.
+        preempts: Whether a foreground request without a free slot takes the
+            slot of a background stream.
+    """
     rng = random.Random(seed)
     now, next_arrival, next_period = 0.0, 0.0, PERIOD_S
     waiting: list[tuple[float, int]] = []
     running: list[list] = []
     background = 0
-    firsts: list[bool] = []
-    gaps: list[bool] = []
+    first_tokens_met: list[bool] = []
+    gaps_met: list[bool] = []
     counts = {"background": 0, "foreground": 0}
     period_tokens, period_streams, period_steps = 0, 0, 0
     while now < seconds:
         while next_arrival <= now:
             waiting.append((next_arrival, rng.randint(*FOREGROUND_TOKENS)))
             burst = int(next_arrival / BURST_S) % 2
-            rate = BURST_RATE if burst else QUIET_RATE
+            rate = BURST_REQUESTS_PER_S if burst else QUIET_REQUESTS_PER_S
             next_arrival += rng.expovariate(rate)
         while waiting:
             if len(running) + background >= SLOTS:
@@ -107,17 +123,19 @@
                 background -= 1
             arrived, length = waiting.pop(0)
             running.append([arrived, length, True])
-        room = SLOTS - len(running) - background
-        background += max(0, min(room, window.size - background))
+        free_slots = SLOTS - len(running) - background
+        background += max(0, min(free_slots, window.size - background))
         background = min(background, max(window.size, 0))
-        took = STEP_S + STEP_PER_STREAM_S * (len(running) + background)
-        now += took
+        step_duration_s = STEP_S + STEP_PER_STREAM_S * (
+            len(running) + background
+        )
+        now += step_duration_s
         for stream in running:
             if stream[2]:
-                firsts.append(now - stream[0] <= FIRST_TARGET_S)
+                first_tokens_met.append(now - stream[0] <= FIRST_TOKEN_TARGET_S)
                 stream[2] = False
             else:
-                gaps.append(took <= GAP_TARGET_S)
+                gaps_met.append(step_duration_s <= GAP_TARGET_S)
             stream[1] -= 1
         counts["foreground"] += len(running)
         counts["background"] += background
@@ -127,24 +145,24 @@
         period_steps += 1
         if now >= next_period:
             streams = period_streams / period_steps
-            window.measured(period_tokens, streams)
+            window.record_period(period_tokens, streams)
             period_tokens = period_streams = period_steps = 0
             next_period = now + PERIOD_S
     return Figures(
-        statistics.mean(firsts),
-        statistics.mean(gaps),
+        statistics.mean(first_tokens_met),
+        statistics.mean(gaps_met),
         counts["background"] / now,
         (counts["background"] + counts["foreground"]) / now,
     )
 
 
 def main() -> None:
-    """Prints mean and spread over seeds."""
+    """Prints mean, minimum and maximum over the seeds for each limit."""
     parser = figures.argument_parser(__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=200.0)
     options = parser.parse_args()
-    ways = {
+    strategies = {
         "no background": (lambda: Window(0), False),
         "fixed 4": (lambda: Window(4), False),
         "fixed 8": (lambda: Window(8), False),
@@ -156,9 +174,9 @@
         "preemption, binary search": (BinarySearch, True),
     }
     rows = []
-    for name, (make, preempts) in ways.items():
+    for name, (make_window, preempts) in strategies.items():
         runs = [
-            simulate(make(), seed, options.seconds, preempts=preempts)
+            simulate(make_window(), seed, options.seconds, preempts=preempts)
             for seed in range(options.seeds)
         ]
         row = {"way": name}
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,9 @@
-"""Measures the slopes from which docs/CAPACITY.md is worked out.
+"""Measures how costs grow with size; docs/CAPACITY.md is calculated from them.
 
-Each measurement takes a part at four sizes or more, fits a straight line and
-prints slope, intercept and the largest error of the fit. Processor time is
-this process's own, so other load on the machine matters little.
+Each benchmark measures a component at four sizes or more and fits a straight
+line; the table shows slope, intercept and largest error of the fit. Processor
+time is that of this process alone, so other load on the machine has little
+influence.
 """
 
 import dataclasses
@@ -47,17 +48,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Slope:
-    """A fitted line.
+    """Straight line fitted to the results of one benchmark.
 
     Attributes:
-        name: What was measured.
-        unit: Unit of the figures.
-        per: What the size counts.
-        points: Sizes and figures.
-        slope: Figure for each one more.
-        intercept: Figure at size 0.
+        name: Name of the measured quantity.
+        unit: Unit of the values.
+        per: Unit of the size, such as "instance".
+        points: Pairs of size and measured value.
+        slope: Increase of the value when the size grows by one.
+        intercept: Value at size 0.
         error: Largest distance of a point from the line, relative to the
-            largest figure.
+            largest value.
     """
 
     name: str
@@ -76,7 +77,15 @@
     sizes: list[int],
     measure: Callable[[int], float],
 ) -> Slope:
-    """Measures at each size, the least of three, and fits a line."""
+    """Fits a line to the minimum of three measurements at each size.
+
+    Args:
+        name: Name of the measured quantity.
+        unit: Unit of the values.
+        per: Unit of the size.
+        sizes: Sizes to measure at.
+        measure: Returns the value at a size.
+    """
     points = []
     for size in sizes:
         points.append((size, min(measure(size) for _ in range(3))))
@@ -89,10 +98,10 @@
 
 
 def measure_all() -> list[Slope]:
-    """Returns every slope."""
+    """Runs all benchmarks and returns their fitted lines."""
     return [
         fit(name, unit, per, list(sizes), measure)
-        for name, unit, per, sizes, measure in _MEASUREMENTS
+        for name, unit, per, sizes, measure in _BENCHMARKS
     ]
 
 
@@ -107,19 +116,19 @@
     return used / times * 1e6
 
 
-def _bytes_held(make: Callable[[], object]) -> float:
+def _retained_bytes(make: Callable[[], object]) -> float:
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = make()
+    retained = make()
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    del kept
+    del retained
     return held
 
 
-def _member(number: int) -> Member:
+def _make_member(number: int) -> Member:
     address = f"10.0.{number // 250}.{number % 250}"
     return Member(
         f"relay-{number:04d}",
@@ -133,58 +142,59 @@
     )
 
 
-def _view(count: int) -> Membership:
-    view = Membership(_member(0), 2.0, random.Random(SEED))
-    view.seed([_member(number) for number in range(1, count)], 0.0)
-    return view
+def _membership(count: int) -> Membership:
+    membership = Membership(_make_member(0), 2.0, random.Random(SEED))
+    membership.seed([_make_member(number) for number in range(1, count)], 0.0)
+    return membership
 
 
-def _probe(count: int) -> float:
-    """A probe, its answer's reading, and another's probe answered."""
-    view, other = _view(count), _view(count)
-    other.own = _member(1)
-    clock = iter(range(10**9))
+def _gossip_cpu(count: int) -> float:
+    """CPU time of a probe: sent, answered by the other member, answer read."""
+    membership, responder = _membership(count), _membership(count)
+    responder.own = _make_member(1)
+    counter = iter(range(10**9))
 
     def step() -> None:
-        now = float(next(clock)) * 1e-3
-        for sent in view.probe(now):
+        now = float(next(counter)) * 1e-3
+        for sent in membership.probe(now):
             data = msgspec.msgpack.encode(sent.gossip)
             gossip = msgspec.msgpack.decode(data, type=type(sent.gossip))
-            for answer in other.receive(gossip, now):
-                view.receive(answer.gossip, now)
+            for answer in responder.receive(gossip, now):
+                membership.receive(answer.gossip, now)
 
     return _cpu_us(step, PROBES)
 
 
-def _bytes(count: int) -> float:
-    view = _view(count)
+def _gossip_bytes(count: int) -> float:
+    membership = _membership(count)
     sizes = []
     for number in range(PROBES):
-        # Some members change all the time: 79 restarts and failures a day
-        # are far fewer than one in each probe.
+        # One change of a member in 20 probes; the 79 restarts and failures a
+        # day that are expected are far fewer.
         if number % 20 == 0:
-            view.receive(
-                _gossip_of(_member(number % (count - 1) + 1), number), 0.0
+            membership.receive(
+                _restart_gossip(_make_member(number % (count - 1) + 1), number),
+                0.0,
             )
         sizes += [
             len(msgspec.msgpack.encode(sent.gossip)) + 28
-            for sent in view.probe(float(number))
+            for sent in membership.probe(float(number))
         ]
-        view._probed = None
+        membership._probed = None
     return sum(sizes) / len(sizes)
 
 
-def _gossip_of(member: Member, beat: int):
+def _restart_gossip(member: Member, beat: int):
     changed = dataclasses.replace(member, incarnation=f"1{beat:013d}-abcdef01")
     return Gossip("ack", changed, [], [], ManifestPointer(1, "0" * 64))
 
 
-def _members(count: int) -> float:
-    return _bytes_held(lambda: _view(count))
+def _membership_memory(count: int) -> float:
+    return _retained_bytes(lambda: _membership(count))
 
 
-def _serve(broker: Broker, clock, organisations: int = 10) -> None:
-    number = next(clock)
+def _serve_request(broker: Broker, counter, organisations: int = 10) -> None:
+    number = next(counter)
     now = number * 1e-3
     broker.ask(make_queued_request(number, organisations, now), now)
     for decision in broker.step(now):
@@ -196,12 +206,12 @@
     broker.step(now)
 
 
-def _broker_servers(count: int) -> float:
-    broker, clock = Broker(make_cell(count)), iter(range(10**9))
-    return _cpu_us(lambda: _serve(broker, clock), 2000)
+def _broker_cpu_by_servers(count: int) -> float:
+    broker, counter = Broker(make_cell(count)), iter(range(10**9))
+    return _cpu_us(lambda: _serve_request(broker, counter), 2000)
 
 
-def _broker_waiting(count: int) -> float:
+def _broker_cpu_by_waiting(count: int) -> float:
     broker = Broker(make_cell(8, slots=1))
     for number in range(8):
         broker.hold(
@@ -209,10 +219,10 @@
         )
     for number in range(count):
         broker.ask(make_queued_request(10**8 + number, 10, 0.0), 0.0)
-    holding = iter(range(10**9))
+    numbers = iter(range(10**9))
 
     def serve() -> None:
-        number = next(holding)
+        number = next(numbers)
         broker.release(Release(f"h{number}", "pool/0", 1.0, False, 0.0), 0.0)
         broker.step(0.0)
         broker.ask(make_queued_request(number, 10, 0.0), 0.0)
@@ -225,9 +235,9 @@
     return _cpu_us(serve, 500)
 
 
-def _broker_organisations(count: int) -> float:
-    broker, clock = Broker(make_cell(8)), iter(range(10**9))
-    return _cpu_us(lambda: _serve(broker, clock, count), 4000)
+def _broker_cpu_by_organisations(count: int) -> float:
+    broker, counter = Broker(make_cell(8)), iter(range(10**9))
+    return _cpu_us(lambda: _serve_request(broker, counter, count), 4000)
 
 
 def _broker_memory(count: int) -> float:
@@ -237,14 +247,14 @@
             broker.ask(make_queued_request(number, 100, 0.0), 0.0)
         return broker
 
-    return _bytes_held(make)
+    return _retained_bytes(make)
 
 
-def _desk_tick(instances: int) -> float:
-    """A tick of a desk with the permits that one instance holds."""
-    members = [_member(number) for number in range(instances)]
+def _permit_tick_cpu(instances: int) -> float:
+    """CPU time of a tick with the permits that one instance holds."""
+    members = [_make_member(number) for number in range(instances)]
     counters = Counters(Statsd())
-    desk = PermitDesk(
+    permit_client = PermitDesk(
         members[0],
         lambda: members,
         lambda: None,
@@ -255,12 +265,12 @@
     )
     for number in range(STREAMS):
         cell = f"pool-{number % MODELS}/0"
-        desk.adopt(Held(str(number), cell, "server", 3, False))
-    clock = iter(range(10**9))
-    return _cpu_us(lambda: desk._tick(float(next(clock))), 200)
+        permit_client.adopt(Held(str(number), cell, "server", 3, False))
+    counter = iter(range(10**9))
+    return _cpu_us(lambda: permit_client._tick(float(next(counter))), 200)
 
 
-def _report(permits: int) -> float:
+def _load_report_cpu(permits: int) -> float:
     broker = Broker(make_cell(8, slots=32))
     for number in range(permits):
         name = f"s{number % 8}"
@@ -276,7 +286,7 @@
             index.add(f"s{number % 8}", (hash(str(number)),))
         return index
 
-    return _bytes_held(make)
+    return _retained_bytes(make)
 
 
 def _prefix_cpu(count: int) -> float:
@@ -289,24 +299,24 @@
     )
 
 
-def _adopt(organisations: int, servers: int) -> float:
+def _manifest_adopt_cpu(organisations: int, servers: int) -> float:
     text = manifest_text(organisations, servers)
     pointer = ManifestPointer(1, manifest.digest_of(text))
 
     def adopt() -> None:
         adopted = Spread().adopt(pointer, text)
         if not adopted:
-            raise ValueError("the manifest was not adopted")
+            raise ValueError("the generated manifest was not adopted")
 
     return _cpu_us(adopt, 1)
 
 
 def _manifest_memory(organisations: int) -> float:
     text = manifest_text(organisations, 100)
-    return _bytes_held(lambda: manifest.parse(text, "m").unwrap())
+    return _retained_bytes(lambda: manifest.parse(text, "m").unwrap())
 
 
-def _ask(number: int) -> Ask:
+def _make_ask(number: int) -> Ask:
     return Ask(
         f"{number:032d}",
         "model-pool/12",
@@ -329,7 +339,7 @@
 
 
 def _entry_frame(count: int) -> EntryFrame:
-    asks = [_ask(number) for number in range(count)]
+    asks = [_make_ask(number) for number in range(count)]
     releases = [
         Release(ask.ask_id, ask.cell, 300.0, False, 0.03) for ask in asks
     ]
@@ -337,7 +347,7 @@
     return EntryFrame(name, incarnation, asks, [], releases, [])
 
 
-def _grants(count: int) -> BrokerFrame:
+def _grant_frame(count: int) -> BrokerFrame:
     return BrokerFrame(
         [
             Grant(f"{n:032d}", "model-pool/12", "model-pool-server-0123")
@@ -349,23 +359,23 @@
     )
 
 
-def _frame(count: int) -> float:
-    both = (_entry_frame(count), _grants(count))
+def _permit_frame_bytes(count: int) -> float:
+    both = (_entry_frame(count), _grant_frame(count))
     return sum(len(msgspec.msgpack.encode(frame)) for frame in both)
 
 
-def _codec(count: int) -> float:
-    entry, grants = _entry_frame(count), _grants(count)
+def _permit_codec_cpu(count: int) -> float:
+    entry, grants = _entry_frame(count), _grant_frame(count)
 
-    def both_ways() -> None:
+    def encode_and_decode() -> None:
         for frame in (entry, grants):
             data = msgspec.msgpack.encode(frame)
             msgspec.msgpack.decode(data, type=type(frame))
 
-    return _cpu_us(both_ways, 2000)
+    return _cpu_us(encode_and_decode, 2000)
 
 
-def _burn(buckets: int) -> float:
+def _burn_memory(buckets: int) -> float:
     def make() -> burn.Book:
         book = burn.Book()
         for number in range(buckets):
@@ -375,34 +385,46 @@
             book.add(sample, number // 5 * 60.0)
         return book
 
-    return _bytes_held(make)
+    return _retained_bytes(make)
 
 
-def _watchdog(waits: int) -> float:
+def _watchdog_cpu(waits: int) -> float:
     watchdog = Watchdog()
     for _ in range(waits):
         watchdog.guard(lambda: None).arm(1000.0)
     return _cpu_us(lambda: watchdog.check(time.monotonic()), 500)
 
 
-_MEASUREMENTS = (
-    ("gossip CPU", "us/probe", "instance", (50, 100, 200, 400), _probe),
-    ("gossip bytes", "B/probe", "instance", (50, 100, 200, 400), _bytes),
-    ("membership memory", "B", "instance", (50, 100, 200, 400), _members),
-    ("broker CPU", "us/request", "server", (2, 4, 6, 8), _broker_servers),
+_BENCHMARKS = (
+    ("gossip CPU", "us/probe", "instance", (50, 100, 200, 400), _gossip_cpu),
+    ("gossip bytes", "B/probe", "instance", (50, 100, 200, 400), _gossip_bytes),
+    (
+        "membership memory",
+        "B",
+        "instance",
+        (50, 100, 200, 400),
+        _membership_memory,
+    ),
+    (
+        "broker CPU",
+        "us/request",
+        "server",
+        (2, 4, 6, 8),
+        _broker_cpu_by_servers,
+    ),
     (
         "broker CPU, full cell",
         "us/request",
         "waiting request",
         (0, 50, 100, 200, 400),
-        _broker_waiting,
+        _broker_cpu_by_waiting,
     ),
     (
         "broker CPU",
         "us/request",
         "organisation",
         (10, 100, 450, 900, 1800),
-        _broker_organisations,
+        _broker_cpu_by_organisations,
     ),
     (
         "broker memory",
@@ -412,13 +434,19 @@
         _broker_memory,
     ),
     (
-        "desk tick CPU, 92 permits",
+        "permit client tick CPU, 92 permits",
         "us/tick",
         "instance",
         (50, 100, 200, 400),
-        _desk_tick,
+        _permit_tick_cpu,
+    ),
+    (
+        "load report CPU",
+        "us/report",
+        "permit",
+        (8, 64, 128, 256),
+        _load_report_cpu,
     ),
-    ("load report CPU", "us/report", "permit", (8, 64, 128, 256), _report),
     (
         "prefix index memory",
         "B",
@@ -438,14 +466,14 @@
         "us",
         "organisation",
         (100, 450, 900, 1800),
-        lambda n: _adopt(n, 100),
+        lambda n: _manifest_adopt_cpu(n, 100),
     ),
     (
         "manifest adopt CPU",
         "us",
         "backend server",
         (75, 150, 300, 600),
-        lambda n: _adopt(100, n),
+        lambda n: _manifest_adopt_cpu(100, n),
     ),
     (
         "manifest bytes",
@@ -468,10 +496,22 @@
         (100, 450, 900, 1800),
         _manifest_memory,
     ),
-    ("permit bytes", "B/frame", "ask in a frame", (1, 2, 4, 8), _frame),
-    ("permit codec CPU", "us/frame", "ask in a frame", (1, 2, 4, 8), _codec),
-    ("burn memory", "B", "minute and class", (20, 60, 150, 300), _burn),
-    ("watchdog CPU", "us/tick", "wait", (100, 200, 400, 800), _watchdog),
+    (
+        "permit bytes",
+        "B/frame",
+        "ask in a frame",
+        (1, 2, 4, 8),
+        _permit_frame_bytes,
+    ),
+    (
+        "permit codec CPU",
+        "us/frame",
+        "ask in a frame",
+        (1, 2, 4, 8),
+        _permit_codec_cpu,
+    ),
+    ("burn memory", "B", "minute and class", (20, 60, 150, 300), _burn_memory),
+    ("watchdog CPU", "us/tick", "wait", (100, 200, 400, 800), _watchdog_cpu),
 )
 
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,7 +1,8 @@
-"""Measures claims a second against a table service with a bounded rate.
+"""Measures claims a second against a table service with a rate limit.
 
-Two readings of "300 writes a second": a commit of many rows counts once, or
-each row counts. Both are measured, with all claims through one instance.
+A limit of 300 writes a second may count each commit once, however many rows
+it has, or each row. Both cases are measured, with all claims made by one
+instance.
 """
 
 import time
@@ -19,26 +20,26 @@
 from jasminerelay.watchdog import Watchdog
 from standins.launcher import Options, System, call
 
-RATE = 300
-CALL_S = 0.02
-LONGEST_S = 5.0
+WRITES_PER_S = 300
+CALL_DURATION_S = 0.02
+MAX_CALL_S = 5.0
 
 
 def main() -> None:
-    """Prints claims a second and their latency."""
+    """Prints claims a second and their latency, by limit and load."""
     parser = figures.argument_parser(__doc__)
     parser.add_argument("--seconds", type=float, default=5.0)
     options = parser.parse_args()
     rows = []
-    for counted in ("commits", "rows"):
+    for limited_unit in ("commits", "rows"):
         for callers in (10, 50, 200):
-            rows.append(_run(counted, callers, options.seconds))
+            rows.append(_run(limited_unit, callers, options.seconds))
     figures.show(rows)
     figures.write_json(rows, options.out)
 
 
-def _run(counted: str, callers: int, seconds: float) -> dict:
-    limits = {"commits": "0", "rows": "0", counted: str(RATE)}
+def _run(limited_unit: str, callers: int, seconds: float) -> dict:
+    limits = {"commits": "0", "rows": "0", limited_unit: str(WRITES_PER_S)}
     table = (
         "--commits-per-s",
         limits["commits"],
@@ -47,13 +48,13 @@
     )
     options = Options(daemons=0, max_engines=0, max_services=0, table=table)
     with System(options) as system:
-        urls = {name: system.processes[name].url for name in _PARTS}
+        urls = {name: system.processes[name].url for name in _SERVICES}
         latencies: list[float] = []
-        refused = anyio.run(_claims, urls, callers, seconds, latencies)
+        refused = anyio.run(_measure_claims, urls, callers, seconds, latencies)
         stats = call("GET", system.processes["table"].url + "/stats")[1]
     latencies.sort()
     return {
-        "counted": counted,
+        "counted": limited_unit,
         "callers": callers,
         "claims/s": round(len(latencies) / seconds),
         "refused": refused,
@@ -63,44 +64,46 @@
     }
 
 
-_PARTS = ("table", "objects", "instances")
+_SERVICES = ("table", "objects", "instances")
 
 
-async def _claims(
+async def _measure_claims(
     urls: dict[str, str], callers: int, seconds: float, latencies: list[float]
 ) -> int:
     client = Client(Watchdog())
-    cfg = Platform(**urls)
+    platform = Platform(**urls)
     desk = ClaimDesk(
-        Table(client, cfg, 2.0),
-        Objects(client, cfg, 2.0),
+        Table(client, platform, 2.0),
+        Objects(client, platform, 2.0),
         Counters(Statsd()),
         5.0,
         16384,
     )
-    until = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     refused = types.SimpleNamespace(count=0)
 
-    async def caller(name: int) -> None:
+    async def make_claims(name: int) -> None:
         number = 0
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             number += 1
             started = time.monotonic()
             try:
-                won = await desk.claim(f"claim/{name}-{number}", "d", LONGEST_S)
+                result = await desk.claim(
+                    f"claim/{name}-{number}", "d", MAX_CALL_S
+                )
             except StoreError:
                 refused.count += 1
                 continue
             latencies.append(time.monotonic() - started)
-            await anyio.sleep(CALL_S)
-            if isinstance(won, Won):
-                await desk.finish(won, 200, "text/plain", b"done")
+            await anyio.sleep(CALL_DURATION_S)
+            if isinstance(result, Won):
+                await desk.finish(result, 200, "text/plain", b"done")
 
     async with anyio.create_task_group() as group:
         group.start_soon(desk.run)
         async with anyio.create_task_group() as running:
             for name in range(callers):
-                running.start_soon(caller, name)
+                running.start_soon(make_claims, name)
         group.cancel_scope.cancel()
     await client.aclose()
     return refused.count
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,8 +1,9 @@
-"""Measures what coordination costs a daemon, by requests a second.
+"""Measures the processor time of coordination by request rate.
 
-The same requests of few tokens at the same rate, once with brokers and once
-with the naive version; the difference in processor time is the cost of
-control. The daemon that brokers is shown apart from those that only ask.
+Sends the same short requests at the same rate, once with brokers and once with
+the naive version; the difference in processor time of the daemons is the cost
+of coordination. Daemons that run a broker are shown apart from those that only
+request permits.
 """
 
 import asyncio
@@ -18,17 +19,17 @@
 from standins.launcher import Options, System, cpu_seconds
 
 DAEMONS = 6
-RATES = (2.0, 4.5, 9.0, 18.0)
+REQUEST_RATES = (2.0, 4.5, 9.0, 18.0)
 SECONDS = 12.0
-SETTLE_S = 3.0
+WARM_UP_S = 3.0
 
 
 def main() -> None:
-    """Prints processor time by rate, and the fitted cost of a request."""
+    """Prints processor time by rate, and the fitted cost per request."""
     parser = figures.argument_parser(__doc__)
     options = parser.parse_args()
     rows = []
-    for rate in RATES:
+    for rate in REQUEST_RATES:
         naive = _run("naive", rate)
         broker = _run("broker", rate)
         rows.append(
@@ -43,9 +44,12 @@
         )
     figures.show(rows)
     for name in ("asking %", "brokering %"):
-        extra = [row[name] - row["naive %"] for row in rows]
-        slope, start = numpy.polyfit(RATES, extra, 1)
-        print(f"{name}: {slope * 1e4:.0f} us a request, {start:.2f} % at 0")
+        added_percent = [row[name] - row["naive %"] for row in rows]
+        slope, start = numpy.polyfit(REQUEST_RATES, added_percent, 1)
+        print(
+            f"{name}: {slope * 1e4:.0f} us of CPU per request,"
+            f" {start:.2f} % without load"
+        )
     figures.write_json(rows, options.out)
 
 
@@ -63,33 +67,43 @@
         serial = rng.getrandbits(40)
         schedule.append(PlannedRequest(at, kind, rng.randint(1, 10), 2, serial))
         at += rng.expovariate(rate * DAEMONS)
-    marks: list[list[float]] = []
+    cpu_samples: list[list[float]] = []
     with System(options) as system:
 
-        def mark() -> None:
-            marks.append([cpu_seconds(daemon) for daemon in system.daemons])
+        def sample_cpu() -> None:
+            cpu_samples.append(
+                [cpu_seconds(daemon) for daemon in system.daemons]
+            )
 
-        timers = [threading.Timer(at, mark) for at in (SETTLE_S, SECONDS)]
+        timers = [
+            threading.Timer(at, sample_cpu) for at in (WARM_UP_S, SECONDS)
+        ]
         for timer in timers:
             timer.start()
         urls = [daemon.url for daemon in system.daemons]
         started = time.monotonic()
-        caller = LoadGenerator(MORETON, urls, 1, retries_refused=False)
-        asyncio.run(caller.run(schedule, 1.0))
+        generator = LoadGenerator(MORETON, urls, 1, retries_refused=False)
+        asyncio.run(generator.run(schedule, 1.0))
         elapsed = time.monotonic() - started
         for timer in timers:
             timer.join()
         states = [system.status(daemon) for daemon in system.daemons]
-    span = SECONDS - SETTLE_S
-    used = [(b - a) / span for a, b in zip(*marks, strict=True)]
-    hosts = [bool(state["cells"]) for state in states]
-    asking = [u for u, host in zip(used, hosts, strict=True) if not host]
-    brokering = [u for u, host in zip(used, hosts, strict=True) if host]
+    measured_s = SECONDS - WARM_UP_S
+    cpu_shares = [
+        (b - a) / measured_s for a, b in zip(*cpu_samples, strict=True)
+    ]
+    runs_broker = [bool(state["cells"]) for state in states]
+    client_shares = [
+        u for u, host in zip(cpu_shares, runs_broker, strict=True) if not host
+    ]
+    broker_shares = [
+        u for u, host in zip(cpu_shares, runs_broker, strict=True) if host
+    ]
     counters = [state["counters"] for state in states]
     return {
-        "mean": sum(used) / len(used),
-        "asking": sum(asking) / max(1, len(asking)),
-        "brokering": sum(brokering) / max(1, len(brokering)),
+        "mean": sum(cpu_shares) / len(cpu_shares),
+        "asking": sum(client_shares) / max(1, len(client_shares)),
+        "brokering": sum(broker_shares) / max(1, len(broker_shares)),
         "frames": sum(
             c.get("link.frames_in", 0) + c.get("link.frames_out", 0)
             for c in counters
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -1,8 +1,9 @@
-"""Measures how a cell fares while its broker is lost.
+"""Measures how the loss of its broker affects a cell.
 
-Short requests at a steady rate at all instances; the broker is killed or
-frozen. Reports the longest pause between two answers' first tokens, how far
-the engines' work went above their slots, and what callers saw.
+Short requests arrive at a steady rate at all instances but the broker, which
+is killed, frozen or drained during the run. Reports the longest time between
+the first tokens of two successive answers, the largest number of requests
+above an engine's slots, and the requests that failed or got a wrong answer.
 """
 
 import asyncio
@@ -21,28 +22,28 @@
 DAEMONS = 6
 ENGINES = 2
 SLOTS = 8
-RATE = 30.0
-LOST_AT_S = 4.0
+REQUESTS_PER_S = 30.0
+FAILURE_AT_S = 4.0
 SECONDS = 10.0
-FROZEN_S = 4.0
-SAMPLE_S = 0.02
+FREEZE_S = 4.0
+SAMPLE_INTERVAL_S = 0.02
 
 
 def main() -> None:
-    """Prints the figures of each way to lose the broker."""
+    """Prints the figures for each way in which the broker fails."""
     parser = figures.argument_parser(__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     options = parser.parse_args()
     rows = [
-        _run(way, seed)
-        for way in ("none", "killed", "frozen", "drained")
+        _run(failure, seed)
+        for failure in ("none", "killed", "frozen", "drained")
         for seed in range(options.seeds)
     ]
     figures.show(rows)
     figures.write_json(rows, options.out)
 
 
-def _run(way: str, seed: int) -> dict:
+def _run(failure: str, seed: int) -> dict:
     options = Options(
         daemons=DAEMONS,
         max_engines=ENGINES,
@@ -55,25 +56,32 @@
         broker = next(d for d in system.daemons if d.name == owner)
         others = [d for d in system.daemons if d is not broker]
         urls = [daemon.url for daemon in others]
-        excess = _Excess(system)
-        threading.Timer(LOST_AT_S, _lose, (way, broker)).start()
-        caller = LoadGenerator(MORETON, urls, seed, retries_refused=False)
+        overload_sampler = _OverloadSampler(system)
+        threading.Timer(FAILURE_AT_S, _fail_broker, (failure, broker)).start()
+        generator = LoadGenerator(MORETON, urls, seed, retries_refused=False)
         started = time.monotonic()
-        seen = asyncio.run(caller.run(_schedule(seed), 1.0))
+        results = asyncio.run(generator.run(_schedule(seed), 1.0))
         elapsed = time.monotonic() - started
-        excess.stop()
-    firsts = sorted(s.planned.at + s.first_s for s in seen if s.whole)
-    pauses = [b - a for a, b in zip(firsts, firsts[1:], strict=False)]
-    waits = sorted(item.first_s for item in seen if item.whole)
+        overload_sampler.stop()
+    first_token_times = sorted(
+        s.planned.at + s.first_s for s in results if s.whole
+    )
+    intervals = [
+        b - a
+        for a, b in zip(first_token_times, first_token_times[1:], strict=False)
+    ]
+    first_token_delays = sorted(item.first_s for item in results if item.whole)
     return {
-        "broker": way,
+        "broker": failure,
         "seed": seed,
-        "requests": len(seen),
-        "not served": sum(not item.whole for item in seen),
-        "wrong": sum(item.wrong for item in seen),
-        "longest pause s": round(max(pauses), 3),
-        "first token p99 s": round(waits[int(len(waits) * 0.99)], 3),
-        "most above slots": excess.most,
+        "requests": len(results),
+        "not served": sum(not item.whole for item in results),
+        "wrong": sum(item.wrong for item in results),
+        "longest pause s": round(max(intervals), 3),
+        "first token p99 s": round(
+            first_token_delays[int(len(first_token_delays) * 0.99)], 3
+        ),
+        "most above slots": overload_sampler.max_excess,
         "seconds": round(elapsed, 1),
     }
 
@@ -87,27 +95,27 @@
         organisation = rng.randint(1, 10)
         serial = rng.getrandbits(40)
         schedule.append(PlannedRequest(at, kind, organisation, tokens, serial))
-        at += rng.expovariate(RATE)
+        at += rng.expovariate(REQUESTS_PER_S)
     return schedule
 
 
-def _lose(way: str, broker) -> None:
-    match way:
+def _fail_broker(failure: str, broker) -> None:
+    match failure:
         case "killed":
             broker.kill()
         case "frozen":
             broker.freeze()
-            time.sleep(FROZEN_S)
+            time.sleep(FREEZE_S)
             broker.thaw()
         case "drained":
             broker.terminate()
 
 
-class _Excess:
-    """Samples how far the engines' work goes above their slots."""
+class _OverloadSampler:
+    """Samples by how many requests an engine's load exceeds its slots."""
 
     def __init__(self, system: System):
-        self.most = 0
+        self.max_excess = 0
         self._urls = [
             system.processes[f"model-{n + 1}"].url for n in range(ENGINES)
         ]
@@ -116,19 +124,19 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends sampling."""
+        """Stops sampling."""
         self._stop.set()
         self._thread.join()
 
     def _run(self) -> None:
-        while not self._stop.wait(SAMPLE_S):
+        while not self._stop.wait(SAMPLE_INTERVAL_S):
             for url in self._urls:
                 try:
                     load = call("GET", url + "/load")[1]
                 except (httpcore.NetworkError, httpcore.ProtocolError):
                     continue
                 total = load["running"] + load["waiting"]
-                self.most = max(self.most, total - SLOTS)
+                self.max_excess = max(self.max_excess, total - SLOTS)
 
 
 if __name__ == "__main__":
--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -1,9 +1,10 @@
-"""Slopes of what an instance on the platform pays for its decisions.
+"""Measures the processor cost of the decisions of an instance on the platform.
 
 Usage: python -m bench.platformcost
 
-Prints microseconds for each part at several sizes, least of five rounds, so
-that the capacity page can be worked out from them.
+Prints the microseconds of one call of each operation at several numbers of
+servers, as the minimum of five rounds. The capacity page is calculated from
+these figures.
 """
 
 import random
@@ -30,14 +31,14 @@
 from tests.test_placing import call
 
 ROUNDS = 5
-TIMES = 200
+CALLS_PER_ROUND = 200
 SIZES = (8, 32, 128, 512)
 ENGINE = Engine(64, 700_000, 18_432, True, 5)
 SPEEDS = Speeds(1 / 80_000, 0.045, 0.004, 0.000_08)
 
 
-def word(servers: int) -> PeerWord:
-    """Returns an instance's word with work at some servers."""
+def make_message(servers: int) -> PeerWord:
+    """Returns a message of an instance that reports load at some servers."""
     loads = [ServerLoad(f"i-{n:010x}", 9000, 3, 40_000) for n in range(servers)]
     demand = [KindDemand(f"pool/r-{n}", 0.4, 900, n) for n in range(5)]
     return PeerWord(
@@ -50,35 +51,35 @@
     )
 
 
-def microseconds(part: Callable[[], object]) -> float:
-    """Returns the least mean time of one call."""
-    best = float("inf")
+def min_microseconds(part: Callable[[], object]) -> float:
+    """Returns the mean time of one call in the fastest round."""
+    best_s = float("inf")
     for _ in range(ROUNDS):
         started = time.perf_counter()
-        for _ in range(TIMES):
+        for _ in range(CALLS_PER_ROUND):
             part()
-        best = min(best, (time.perf_counter() - started) / TIMES)
-    return best * 1e6
+        best_s = min(best_s, (time.perf_counter() - started) / CALLS_PER_ROUND)
+    return best_s * 1e6
 
 
-def hear(servers: int) -> Callable[[], object]:
-    """Returns the work of one word from another instance."""
-    data = peerwords.encode(word(servers))
+def receive_message(servers: int) -> Callable[[], object]:
+    """Returns an operation that handles one message of another instance."""
+    data = peerwords.encode(make_message(servers))
     workload = Workload()
     view = DemandView()
-    numbers = iter(range(1, 1 << 30))
+    sequence_numbers = iter(range(1, 1 << 30))
 
     def part() -> None:
-        heard = peerwords.decode(data)
-        loads = peerwords.load_rows(heard.loads)
-        workload.hear("edge-1", next(numbers), loads, 1.0)
-        view.hear("edge-1", peerwords.demand_rows(heard.demand), 1.0)
+        message = peerwords.decode(data)
+        loads = peerwords.load_rows(message.loads)
+        workload.hear("edge-1", next(sequence_numbers), loads, 1.0)
+        view.hear("edge-1", peerwords.demand_rows(message.demand), 1.0)
 
     return part
 
 
-def place(servers: int) -> Callable[[], object]:
-    """Returns the work of placing one model request in its group."""
+def place_request(servers: int) -> Callable[[], object]:
+    """Returns an operation that places one model request in its group."""
     rng = random.Random(1)
     options = [
         Option(
@@ -87,23 +88,23 @@
         )
         for n in range(servers)
     ]
-    item = call()
-    guess = Guess(300, 300)
+    model_call = call()
+    output_estimate = Guess(300, 300)
     return lambda: placing.place_model(
-        item, ENGINE, SPEEDS, options, guess, 0.0
+        model_call, ENGINE, SPEEDS, options, output_estimate, 0.0
     )
 
 
 def split(servers: int) -> Callable[[], object]:
-    """Returns the work of looking at one service's split."""
+    """Returns an operation that updates the split of one service's servers."""
     names = [f"i-{n:010x}" for n in range(servers)]
     demand = [KindDemand(f"r-{n}", 0.5 + n, 900.0, n) for n in range(5)]
     held = Split()
     return lambda: held.update(names, demand)
 
 
-def change(servers: int) -> Callable[[], object]:
-    """Returns the work of one server's changed row."""
+def change_row(servers: int) -> Callable[[], object]:
+    """Returns an operation that applies one changed server row."""
 
     def decode(name: str, data: bytes) -> BackendServer:
         return BackendServer(name, "pool", "1.2.3.4:5", "z", 64, False)
@@ -122,19 +123,19 @@
 
 
 def main() -> None:
-    """Prints the table."""
+    """Prints the table of costs."""
     parts = (
-        ("word heard", hear),
-        ("request placed", place),
-        ("split looked at", split),
-        ("server row changed", change),
+        ("peer message received", receive_message),
+        ("request placed", place_request),
+        ("split updated", split),
+        ("server row changed", change_row),
     )
     rows = [
-        [name, *(round(microseconds(make(size)), 1) for size in SIZES)]
+        [name, *(round(min_microseconds(make(size)), 1) for size in SIZES)]
         for name, make in parts
     ]
-    sizes = [len(msgspec.msgpack.encode(word(size))) for size in SIZES]
-    rows.append(["bytes of a word", *sizes])
+    sizes = [len(msgspec.msgpack.encode(make_message(size))) for size in SIZES]
+    rows.append(["bytes of a peer message", *sizes])
     headers = ["us for", *(f"{size} servers" for size in SIZES)]
     print(tabulate.tabulate(rows, headers, tablefmt="github"))
 
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -6,13 +6,13 @@
 import tempfile
 
 SCHEMA_DIR = pathlib.Path(__file__).parent.parent / "src/jasminerelay/schema"
-NAMES = ("settings", "manifest", "messages")
+SCHEMA_NAMES = ("settings", "manifest", "messages")
 
 
 def generate(name: str) -> str:
-    """Returns the text of the module generated from one schema."""
-    with tempfile.TemporaryDirectory() as tmp:
-        out = pathlib.Path(tmp) / f"{name}.py"
+    """Returns the source of the module generated from one schema."""
+    with tempfile.TemporaryDirectory() as folder:
+        output_path = pathlib.Path(folder) / f"{name}.py"
         subprocess.run(
             [
                 sys.executable,
@@ -23,7 +23,7 @@
                 "--input-file-type",
                 "jsonschema",
                 "--output",
-                str(out),
+                str(output_path),
                 "--output-model-type",
                 "dataclasses.dataclass",
                 "--frozen-dataclasses",
@@ -41,14 +41,18 @@
             ],
             check=True,
         )
-        return out.read_text()
+        return output_path.read_text()
 
 
 def main() -> int:
-    """Writes the modules; with --check reports the stale ones and fails."""
+    """Writes the modules; with --check only reports those that are out of date.
+
+    Returns:
+        Exit status: 1 if --check found a module that is out of date.
+    """
     check = "--check" in sys.argv[1:]
     stale = []
-    for name in NAMES:
+    for name in SCHEMA_NAMES:
         path = SCHEMA_DIR / f"{name}.py"
         text = generate(name)
         if check and path.read_text() != text:
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Makes the reference pages of the settings and the manifest from schema."""
+"""Generates the reference pages of settings and manifest from JSON Schema."""
 
 import json
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def page(name: str) -> str:
-    """Returns the reference page of one schema."""
+    """Returns the reference page of one schema as Markdown."""
     schema = json.loads((SCHEMA_DIR / f"{name}.json").read_text())
     lines = [
         f"# {schema['title']} reference",
@@ -32,12 +32,12 @@
     required = set(part.get("required", ()))
     rows = [
         f"| `{key}` | {_type(spec)} | {_default(key, spec, required)} |"
-        f" {_text(spec, schema)} |"
+        f" {_description(spec, schema)} |"
         for key, spec in part["properties"].items()
     ]
-    head = ["| key | type | default | meaning |", "| --- | --- | --- | --- |"]
-    about = [part["description"], ""] if title != "Top level" else []
-    return [f"## {title}", "", *about, *head, *rows, ""]
+    header = ["| key | type | default | meaning |", "| --- | --- | --- | --- |"]
+    description = [part["description"], ""] if title != "Top level" else []
+    return [f"## {title}", "", *description, *header, *rows, ""]
 
 
 def _type(spec: dict[str, Any]) -> str:
@@ -45,15 +45,15 @@
         return _link(spec["$ref"])
     if spec["type"] == "array":
         items = spec["items"]
-        inner = _link(items["$ref"]) if "$ref" in items else items["type"]
-        return f"list of {inner}"
+        item_type = _link(items["$ref"]) if "$ref" in items else items["type"]
+        return f"list of {item_type}"
     if "enum" in spec:
         return "one of " + ", ".join(f"`{item}`" for item in spec["enum"])
     return spec["type"] + _bounds(spec)
 
 
 def _bounds(spec: dict[str, Any]) -> str:
-    words = {
+    phrases = {
         "minimum": "at least",
         "maximum": "at most",
         "exclusiveMinimum": "above",
@@ -62,7 +62,9 @@
         "maxLength": "length at most",
     }
     found = [
-        f"{word} {spec[key]}" for key, word in words.items() if key in spec
+        f"{phrase} {spec[key]}"
+        for key, phrase in phrases.items()
+        if key in spec
     ]
     return f" ({', '.join(found)})" if found else ""
 
@@ -75,7 +77,7 @@
     return f"`{json.dumps(spec.get('default'))}`"
 
 
-def _text(spec: dict[str, Any], schema: dict[str, Any]) -> str:
+def _description(spec: dict[str, Any], schema: dict[str, Any]) -> str:
     if "description" in spec:
         return spec["description"]
     ref = spec.get("$ref") or spec["items"]["$ref"]
@@ -88,7 +90,11 @@
 
 
 def main() -> int:
-    """Writes the pages; with --check reports the stale ones and fails."""
+    """Writes the pages; with --check only reports those that are out of date.
+
+    Returns:
+        Exit status: 1 if --check found a page that is out of date.
+    """
     check = "--check" in sys.argv[1:]
     stale = []
     for name, target in PAGES.items():
