--- a/deploy/instance.py
+++ b/deploy/instance.py
@@ -1,4 +1,4 @@
-"""Starts one instance on the platform from a checkout."""
+"""Starts one jasminerelay instance on the platform from a checkout."""
 
 import pathlib
 import sys
