--- a/bench/background.py
+++ b/bench/background.py
@@ -103,7 +103,10 @@
     """
     rng = random.Random(seed)
     now, next_arrival, next_period = 0.0, 0.0, PERIOD_S
+    # Foreground requests without a slot: arrival time, tokens of the answer.
     waiting: list[tuple[float, int]] = []
+    # Foreground streams: arrival time, tokens left, whether the first token is
+    # still to come.
     running: list[list] = []
     background = 0
     first_tokens_met: list[bool] = []
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -18,7 +18,7 @@
 import tabulate
 
 from bench import figures
-from bench.fakes import MODELS, make_cell, make_queued_request, manifest_text
+from bench.inputs import MODELS, make_cell, make_queued_request, manifest_text
 from jasminerelay import burn, manifest
 from jasminerelay.broker import Broker
 from jasminerelay.membership import ALIVE, Membership
@@ -176,6 +176,7 @@
                 _restart_gossip(_make_member(number % (count - 1) + 1), number),
                 0.0,
             )
+        # 28 bytes: headers of IPv4 and UDP.
         sizes += [
             len(msgspec.msgpack.encode(sent.gossip)) + 28
             for sent in membership.probe(float(number))
--- a/bench/load.py
+++ b/bench/load.py
@@ -115,7 +115,7 @@
             retries_left -= 1
             await asyncio.sleep(retry_s)
 
-    def _pick(self) -> str:
+    def _pick_url(self) -> str:
         now = time.monotonic()
         available = [
             url for url in self._urls if self._avoided_until.get(url, 0.0) < now
@@ -142,7 +142,7 @@
         }
         if planned.kind.request_type:
             request_headers["x-request-type"] = planned.kind.request_type
-        url = self._pick()
+        url = self._pick_url()
         timeout = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_S)
         try:
             async with self._pool.stream(
--- a/bench/report.py
+++ b/bench/report.py
@@ -10,6 +10,7 @@
 
 import pygal
 
+# Removed from the plots, since pygal embeds scripts in SVG.
 _SCRIPT = re.compile(r"<script.*?</script>", re.DOTALL)
 _FIGURES = (
     ("goodput", "goodput, tokens/s", "{:.0f}"),
