--- a/standins/common.py
+++ b/standins/common.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: faults that can be told to them, and serving."""
+"""Fault injection and the HTTP server shared by all stand-ins."""
 
 import argparse
 import asyncio
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass
 class Faults:
-    """Faults in force; set by POST /faults with some of these fields.
+    """Active faults; POST /faults sets the fields that its body names.
 
     Attributes:
-        down: Answer nothing but 503.
-        hang: Answer nothing at all.
-        slow_s: Wait before each answer, in seconds.
-        lose_acks: Number of coming writes whose answer is lost after the
-            effect.
+        down: Answer every request with 503.
+        hang: Leave every request unanswered.
+        slow_s: Delay before each answer, in seconds.
+        lose_acks: Number of upcoming writes that are executed but not
+            answered.
     """
 
     down: bool = False
@@ -27,15 +27,15 @@
     lose_acks: int = 0
 
 
-class FaultyApp:
-    """Wraps an ASGI application with the faults of a platform service."""
+class FaultInjector:
+    """Wraps an ASGI application and injects the faults of a service."""
 
     def __init__(self, app, faults: Faults):
         self._app = app
         self._faults = faults
 
     async def __call__(self, scope, receive, send) -> None:
-        """Serves one request under the faults in force."""
+        """Serves one request, subject to the active faults."""
         faults = self._faults
         if scope["path"] == "/faults":
             await set_faults(faults, receive, scope, send)
@@ -49,14 +49,14 @@
             return
         if scope["method"] in ("POST", "PUT") and faults.lose_acks > 0:
             faults.lose_acks -= 1
-            await self._app(scope, receive, _swallow)
-            await drop(send)
+            await self._app(scope, receive, _discard)
+            await send_truncated(send)
             return
         await self._app(scope, receive, send)
 
 
 async def set_faults(faults, receive, scope, send) -> None:
-    """Takes fields of the faults from a request body."""
+    """Sets the fields of `faults` that the request body names."""
     body = b""
     more = True
     while more:
@@ -71,8 +71,8 @@
     await JSONResponse(dataclasses.asdict(faults))(scope, receive, send)
 
 
-async def drop(send) -> None:
-    """Closes the connection without a whole answer."""
+async def send_truncated(send) -> None:
+    """Sends an incomplete answer, so that the server closes the connection."""
     headers = [(b"content-length", b"1000000")]
     await send(
         {"type": "http.response.start", "status": 200, "headers": headers}
@@ -80,19 +80,21 @@
     await send({"type": "http.response.body", "body": b"", "more_body": True})
 
 
-async def _swallow(message) -> None:
+async def _discard(message) -> None:
     del message
 
 
-def parser(description: str) -> argparse.ArgumentParser:
-    """Returns a parser with the argument that all stand-ins have."""
-    made = argparse.ArgumentParser(description=description)
-    made.add_argument("--address", required=True, help="IP:port to listen on")
-    return made
+def make_parser(description: str) -> argparse.ArgumentParser:
+    """Returns a parser with the `--address` argument of all stand-ins."""
+    arg_parser = argparse.ArgumentParser(description=description)
+    arg_parser.add_argument(
+        "--address", required=True, help="IP:port to listen on"
+    )
+    return arg_parser
 
 
 def serve(app, address: str) -> None:
-    """Serves an application until the process is ended."""
+    """Serves an application until the process is terminated."""
     host, _, port = address.rpartition(":")
     uvicorn.run(
         app,
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,9 @@
-"""Stand-in for a model engine that batches continuously.
+"""Stand-in for a model engine with continuous batching.
 
-One token a step for each running stream; the step takes longer the more run.
-Prompts are cached by blocks in limited memory. Tokens depend only on the text
-so far, so an answer continued elsewhere goes on as it would have here.
+Each step produces one token for every running stream and takes longer the more
+streams run. Prompts are cached in blocks, up to a maximum number of blocks. A
+token depends only on the prompt and its index in the answer, so another engine
+continues an answer with the same tokens.
 """
 
 import asyncio
@@ -20,33 +21,34 @@
 from starlette.responses import JSONResponse, StreamingResponse
 from starlette.routing import Route
 
-from standins.common import parser, serve, set_faults
+from standins.common import make_parser, serve, set_faults
 
 BLOCK_CHARS = 256
 CHARS_PER_TOKEN = 4
-LINGER_S = 10.0
-EVENTS_KEPT = 1000
-_TOKEN = re.compile(r"(?: t[0-9a-f]{4})+$")
-_LENGTH = re.compile(r"\[len=(\d+)\]")
+ABANDONED_STREAM_TTL_S = 10.0
+MAX_EVENTS = 1000
+_ANSWER_TOKENS = re.compile(r"(?: t[0-9a-f]{4})+$")
+_LENGTH_MARKER = re.compile(r"\[len=(\d+)\]")
 
 
 @dataclasses.dataclass
 class EngineFaults:
-    """Faults in force.
+    """Active faults; POST /faults sets the fields that its body names.
 
     Attributes:
-        slow_factor: Factor on the time of a step.
-        leaving: Refuse new work, since the server is leaving.
-        hide_leaving: Do not tell of it in the load report.
-        refuse: Number of coming requests that are refused before they run.
-        cut: Number of coming frames after which a connection is cut; the
-            stream itself is kept. 0 is never.
-        forget: Forget streams whose connection was cut.
+        slow_factor: Multiplier of the step time.
+        leaving: Refuse new requests, as a server that is shutting down does.
+        hide_leaving: Leave `leaving` out of the load report.
+        refuse: Number of upcoming requests that are refused before they run.
+        cut: Number of frames, over all streams, after which a connection is
+            cut; the stream itself is kept. 0 disables the fault.
+        forget: End and remove a stream whose connection was cut by `cut`.
         load_lag_s: Age of the load reports in seconds.
-        duplicate_frames: Send each frame twice.
-        crossed_frames: Send a frame of another stream before each frame.
-        drop_events: Drop cache events.
-        stall: Compute nothing.
+        duplicate_frames: Send every frame twice.
+        crossed_frames: Send a frame of another stream before every frame.
+        drop_events: Leave out cache events; their sequence numbers are used
+            up all the same.
+        stall: Stop computing steps.
     """
 
     slow_factor: float = 1.0
@@ -64,10 +66,23 @@
 
 @dataclasses.dataclass
 class Stream:
-    """One answer under way."""
+    """An answer that is being generated.
+
+    Attributes:
+        base_prompt: Prompt without the answer tokens at its end.
+        start: Number of answer tokens at the end of the prompt.
+        length: Number of tokens of the answer, with those in the prompt.
+        blocks: Hashes of the prompt's blocks.
+        tokens: Tokens generated here.
+        finish: Finish reason; empty while the answer is incomplete.
+        readers: Number of connections that read the stream.
+        disconnected_at: When the last connection closed; 0 before that.
+        changed: Set at the next token or at the end of the stream.
+        prefill_remaining_s: Prefill time not yet charged to a step, in seconds.
+    """
 
     id: str
-    base: str
+    base_prompt: str
     start: int
     length: int
     priority: int
@@ -79,18 +94,18 @@
     finish: str = ""
     cancelled: bool = False
     readers: int = 0
-    left_at: float = 0.0
+    disconnected_at: float = 0.0
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    prefill_left: float = 0.0
+    prefill_remaining_s: float = 0.0
 
-    def wake(self) -> None:
-        """Wakes the readers."""
+    def wake_readers(self) -> None:
+        """Wakes the connections that wait for a token."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class Engine:
-    """Batches streams, step by step."""
+    """Generates the tokens of all running streams, one step at a time."""
 
     def __init__(
         self,
@@ -110,7 +125,7 @@
         self._slots = slots
         self._step_s = step_s
         self._step_per_stream_s = step_per_stream_s
-        self._prefill_s = prefill_s_per_token
+        self._prefill_s_per_token = prefill_s_per_token
         self._cache_blocks = cache_blocks
         self._checks_fencing = checks_fencing
         self._fence = 0
@@ -122,14 +137,14 @@
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self._events: collections.deque = collections.deque(maxlen=EVENTS_KEPT)
+        self._events: collections.deque = collections.deque(maxlen=MAX_EVENTS)
         self._sequence = 0
         self._journal: dict[str, dict] = {}
         self._work = asyncio.Event()
         self._loads: collections.deque = collections.deque(maxlen=1000)
-        self._stepper: asyncio.Task | None = None
+        self._step_task: asyncio.Task | None = None
         self._last_step_s = step_s
-        self._frames = 0
+        self._frames_sent = 0
         self._refused = 0
         self._app = Starlette(
             routes=[
@@ -149,8 +164,8 @@
         """Serves one request."""
         if scope["type"] != "http":
             return
-        if self._stepper is None:
-            self._stepper = asyncio.create_task(self._run())
+        if self._step_task is None:
+            self._step_task = asyncio.create_task(self._run())
         if scope["path"] == "/faults":
             await set_faults(self.faults, receive, scope, send)
             self._work.set()
@@ -158,34 +173,34 @@
         await self._app(scope, receive, send)
 
     async def chat(self, request: Request):
-        """Starts a chat answer."""
+        """Starts a chat completion."""
         body = await request.json()
         messages = body["messages"]
         text = chat_prompt(messages, bool(body.get("continue_final_message")))
         return self._start(request, body, text, chat=True)
 
     async def text(self, request: Request):
-        """Starts a plain answer."""
+        """Starts a text completion."""
         body = await request.json()
         return self._start(request, body, body["prompt"], chat=False)
 
     async def resume(self, request: Request):
-        """Goes on with a stream after an offset."""
+        """Sends a stream's frames from an offset on."""
         stream = self._streams.get(request.path_params["id"])
         if stream is None:
             return JSONResponse({"error": {"message": "no such stream"}}, 404)
         offset = int(request.query_params.get("from", "0"))
-        return self._respond(stream, offset)
+        return self._stream_response(stream, offset)
 
     async def cancel(self, request: Request) -> JSONResponse:
-        """Stops a stream."""
+        """Cancels a stream."""
         stream = self._streams.get(request.path_params["id"])
         if stream is not None:
-            self._end(stream, "cancelled")
+            self._end_stream(stream, "cancelled")
         return JSONResponse({"cancelled": stream is not None})
 
     async def order(self, request: Request) -> JSONResponse:
-        """Takes an order; refuses an old fencing number if it checks them."""
+        """Executes an order; if tokens are checked, refuses an outdated one."""
         body = await request.json()
         fence = body["fence"]
         if self._checks_fencing and fence < self._fence:
@@ -206,7 +221,7 @@
         return response.status == 200
 
     async def state(self, request: Request) -> JSONResponse:
-        """Returns what the orders have made of the engine."""
+        """Returns the state set by orders, the orders and the refusals."""
         del request
         return JSONResponse(
             {
@@ -224,26 +239,26 @@
         return JSONResponse({"events": events})
 
     async def load(self, request: Request) -> JSONResponse:
-        """Returns the load report, as old as the lag says."""
+        """Returns a load report that is `load_lag_s` old."""
         del request
         now = time.monotonic()
-        self._note_load(now)
-        shown = self._loads[0]
+        self._record_load(now)
+        report = self._loads[0]
         for item in self._loads:
             if item["at"] <= now - self.faults.load_lag_s:
-                shown = item
+                report = item
         return JSONResponse(
             {
-                "running": shown["running"],
-                "waiting": shown["waiting"],
+                "running": report["running"],
+                "waiting": report["waiting"],
                 "leaving": self.faults.leaving and not self.faults.hide_leaving,
-                "step_s": shown["step_s"],
-                "age_s": now - shown["at"],
+                "step_s": report["step_s"],
+                "age_s": now - report["at"],
             }
         )
 
     async def journal(self, request: Request) -> JSONResponse:
-        """Returns every attempt that ran, with its computed tokens."""
+        """Returns all accepted attempts with their generated tokens."""
         del request
         return JSONResponse({"attempts": list(self._journal.values())})
 
@@ -263,29 +278,31 @@
         self._streams[stream.id] = stream
         self._journal[stream.id] = {
             "id": stream.id,
-            "prompt": xxhash.xxh64_hexdigest(stream.base.encode()),
+            "prompt": xxhash.xxh64_hexdigest(stream.base_prompt.encode()),
             "tokens": 0,
             "ended": "",
         }
         if stream.start >= stream.length:
-            # Asked to go on after the end: nothing is left to say.
-            self._end(stream, "stop")
-            return self._respond(stream, 0)
+            # The prompt already holds the complete answer.
+            self._end_stream(stream, "stop")
+            return self._stream_response(stream, 0)
         self._waiting.append(stream)
         self._waiting.sort(key=lambda item: item.priority)
         self._work.set()
-        return self._respond(stream, 0)
+        return self._stream_response(stream, 0)
 
     def _new_stream(
         self, request: Request, body: dict, text: str, *, chat: bool
     ) -> Stream:
-        done = _TOKEN.search(text)
-        base = text[: done.start()] if done else text
+        done = _ANSWER_TOKENS.search(text)
+        base_prompt = text[: done.start()] if done else text
         start = len(done.group().split()) if done else 0
-        length = answer_length(base)
-        asked = body.get("max_completion_tokens") or body.get("max_tokens")
-        if asked:
-            length = min(length, start + asked)
+        length = answer_length(base_prompt)
+        token_limit = body.get("max_completion_tokens") or body.get(
+            "max_tokens"
+        )
+        if token_limit:
+            length = min(length, start + token_limit)
         blocks = block_hashes(text)
         cached = 0
         for block in blocks:
@@ -295,7 +312,7 @@
         uncached = max(0, len(text) - cached * BLOCK_CHARS)
         return Stream(
             request.headers.get("x-request-id", ""),
-            base,
+            base_prompt,
             start,
             length,
             int(body.get("priority", 0)),
@@ -303,10 +320,14 @@
             blocks,
             chat,
             body["model"],
-            prefill_left=uncached / CHARS_PER_TOKEN * self._prefill_s,
+            prefill_remaining_s=uncached
+            / CHARS_PER_TOKEN
+            * self._prefill_s_per_token,
         )
 
-    def _respond(self, stream: Stream, offset: int) -> StreamingResponse:
+    def _stream_response(
+        self, stream: Stream, offset: int
+    ) -> StreamingResponse:
         return StreamingResponse(
             self._frames_of(stream, offset), media_type="text/event-stream"
         )
@@ -320,38 +341,38 @@
                 changed = stream.changed
                 while offset < len(stream.tokens):
                     offset += 1
-                    for frame in self._with_faults(stream, offset):
+                    for frame in self._frames_with_faults(stream, offset):
                         yield frame
-                    self._maybe_cut(stream)
+                    self._cut_if_due(stream)
                 if stream.finish:
-                    yield _frame(stream, offset, "", stream.finish)
+                    yield _token_frame(stream, offset, "", stream.finish)
                     yield _usage_frame(stream)
                     yield b"data: [DONE]\n\n"
                     return
                 await changed.wait()
         finally:
             stream.readers -= 1
-            stream.left_at = time.monotonic()
+            stream.disconnected_at = time.monotonic()
 
-    def _with_faults(self, stream: Stream, offset: int) -> list[bytes]:
-        frame = _frame(stream, offset, stream.tokens[offset - 1], None)
+    def _frames_with_faults(self, stream: Stream, offset: int) -> list[bytes]:
+        frame = _token_frame(stream, offset, stream.tokens[offset - 1], None)
         frames = [frame]
         if self.faults.duplicate_frames:
             frames.append(frame)
         if self.faults.crossed_frames:
             other = dataclasses.replace(stream, id="another-request")
-            frames.insert(0, _frame(other, offset, " foreign", None))
+            frames.insert(0, _token_frame(other, offset, " foreign", None))
         return frames
 
-    def _maybe_cut(self, stream: Stream) -> None:
-        self._frames += 1
-        if self.faults.cut and self._frames >= self.faults.cut:
+    def _cut_if_due(self, stream: Stream) -> None:
+        self._frames_sent += 1
+        if self.faults.cut and self._frames_sent >= self.faults.cut:
             self.faults.cut = 0
-            self._frames = 0
+            self._frames_sent = 0
             if self.faults.forget:
-                self._end(stream, "forgotten")
+                self._end_stream(stream, "forgotten")
                 self._streams.pop(stream.id, None)
-            raise ConnectionError("cut by a fault")
+            raise ConnectionError("connection cut by fault injection")
 
     async def _run(self) -> None:
         while True:
@@ -360,37 +381,37 @@
                 self._work.clear()
                 await self._work.wait()
                 continue
-            took = self._step_duration()
-            await asyncio.sleep(took)
-            self._step(took)
+            duration_s = self._step_duration_s()
+            await asyncio.sleep(duration_s)
+            self._step(duration_s)
 
-    def _step_duration(self) -> float:
-        took = self._step_s + self._step_per_stream_s * len(self._running)
+    def _step_duration_s(self) -> float:
+        duration_s = self._step_s + self._step_per_stream_s * len(self._running)
         for stream in self._running:
-            took += stream.prefill_left
-            stream.prefill_left = 0
-        return took * self.faults.slow_factor
+            duration_s += stream.prefill_remaining_s
+            stream.prefill_remaining_s = 0
+        return duration_s * self.faults.slow_factor
 
-    def _step(self, took: float) -> None:
+    def _step(self, duration_s: float) -> None:
         for stream in list(self._running):
             index = stream.start + len(stream.tokens)
-            stream.tokens.append(token_at(stream.base, index))
+            stream.tokens.append(token_at(stream.base_prompt, index))
             self._journal[stream.id]["tokens"] += 1
             if index + 1 >= stream.length:
-                self._end(stream, "stop")
-            stream.wake()
-        self._last_step_s = took
+                self._end_stream(stream, "stop")
+            stream.wake_readers()
+        self._last_step_s = duration_s
         now = time.monotonic()
-        self._note_load(now)
-        self._drop_abandoned(now)
+        self._record_load(now)
+        self._end_abandoned(now)
 
     def _admit(self) -> None:
         while self._waiting and len(self._running) < self._slots:
             stream = self._waiting.pop(0)
             self._running.append(stream)
-            self._store(stream.blocks)
+            self._add_to_cache(stream.blocks)
 
-    def _store(self, blocks: list[int]) -> None:
+    def _add_to_cache(self, blocks: list[int]) -> None:
         stored = [block for block in blocks if block not in self._cache]
         removed = []
         for block in blocks:
@@ -406,7 +427,7 @@
         if not self.faults.drop_events:
             self._events.append(event)
 
-    def _end(self, stream: Stream, why: str) -> None:
+    def _end_stream(self, stream: Stream, why: str) -> None:
         if stream.finish or stream.cancelled:
             return
         if why == "stop":
@@ -418,18 +439,21 @@
             self._running.remove(stream)
         if stream in self._waiting:
             self._waiting.remove(stream)
-        stream.left_at = time.monotonic()
-        stream.wake()
+        stream.disconnected_at = time.monotonic()
+        stream.wake_readers()
         self._work.set()
 
-    def _drop_abandoned(self, now: float) -> None:
+    def _end_abandoned(self, now: float) -> None:
         for stream in list(self._streams.values()):
-            alone = not stream.readers and stream.left_at
-            if alone and now - stream.left_at > LINGER_S:
-                self._end(stream, "abandoned")
+            is_unread = not stream.readers and stream.disconnected_at
+            if (
+                is_unread
+                and now - stream.disconnected_at > ABANDONED_STREAM_TTL_S
+            ):
+                self._end_stream(stream, "abandoned")
                 del self._streams[stream.id]
 
-    def _note_load(self, now: float) -> None:
+    def _record_load(self, now: float) -> None:
         self._loads.append(
             {
                 "at": now,
@@ -441,33 +465,38 @@
 
 
 def chat_prompt(messages: list[dict], continues: bool = False) -> str:
-    """Returns the text of a chat, open at its end if it shall be continued."""
+    """Returns the prompt of a chat.
+
+    Args:
+        messages: Messages of the chat.
+        continues: Whether the answer continues the last message.
+    """
     closed = messages[:-1] if continues else messages
     text = "\n".join(f"{item['role']}: {item['content']}" for item in closed)
     return text + messages[-1]["content"] if continues else text
 
 
-def token_at(base: str, index: int) -> str:
-    """Returns the token at an index of the answer to a prompt."""
-    return f" t{_hash(f'{base}|{index}') & 0xFFFF:04x}"
+def token_at(base_prompt: str, index: int) -> str:
+    """Returns the token at an index of a prompt's answer."""
+    return f" t{_hash(f'{base_prompt}|{index}') & 0xFFFF:04x}"
 
 
-def answer_length(base: str) -> int:
-    """Returns the length of the answer: as told, or drawn from the prompt."""
-    told = _LENGTH.search(base)
-    if told:
-        return int(told.group(1))
-    return 5 + _hash(base) % 40
+def answer_length(base_prompt: str) -> int:
+    """Returns the answer's token count: the prompt's `[len=N]`, or by hash."""
+    marker = _LENGTH_MARKER.search(base_prompt)
+    if marker:
+        return int(marker.group(1))
+    return 5 + _hash(base_prompt) % 40
 
 
-def whole_answer(base: str, max_tokens: int = 1 << 30) -> str:
-    """Returns the answer that a prompt must get."""
-    length = min(answer_length(base), max_tokens)
-    return "".join(token_at(base, index) for index in range(length))
+def whole_answer(base_prompt: str, max_tokens: int = 1 << 30) -> str:
+    """Returns the complete, correct answer to a prompt."""
+    length = min(answer_length(base_prompt), max_tokens)
+    return "".join(token_at(base_prompt, index) for index in range(length))
 
 
 def block_hashes(text: str) -> list[int]:
-    """Returns the chained hashes of the whole blocks of a prompt."""
+    """Returns the chained hashes of a prompt's full blocks."""
     state = xxhash.xxh64()
     hashes = []
     for start in range(0, len(text) - BLOCK_CHARS + 1, BLOCK_CHARS):
@@ -480,7 +509,9 @@
     return xxhash.xxh32_intdigest(text.encode())
 
 
-def _frame(stream: Stream, offset: int, text: str, finish: str | None) -> bytes:
+def _token_frame(
+    stream: Stream, offset: int, text: str, finish: str | None
+) -> bytes:
     choice: dict = {"index": 0, "finish_reason": finish}
     if stream.chat:
         choice["delta"] = {"content": text} if text else {}
@@ -488,7 +519,7 @@
             choice["delta"]["role"] = "assistant"
     else:
         choice["text"] = text
-    return _event(stream, [choice], None, offset)
+    return _encode_event(stream, [choice], None, offset)
 
 
 def _usage_frame(stream: Stream) -> bytes:
@@ -498,10 +529,10 @@
         "completion_tokens": count,
         "total_tokens": stream.prompt_tokens + count,
     }
-    return _event(stream, [], usage, count)
+    return _encode_event(stream, [], usage, count)
 
 
-def _event(
+def _encode_event(
     stream: Stream, choices: list, usage: dict | None, offset: int
 ) -> bytes:
     prefix = "chatcmpl" if stream.chat else "cmpl"
@@ -518,8 +549,8 @@
 
 
 def main() -> None:
-    """Serves an engine."""
-    args = parser("Model engine stand-in")
+    """Runs the engine stand-in."""
+    args = make_parser("Model engine stand-in")
     args.add_argument("--models", default="model")
     args.add_argument("--slots", type=int, default=8)
     args.add_argument("--step-ms", type=float, default=5.0)
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,7 +1,7 @@
-"""A loopback link between two processes that can be disturbed from outside.
+"""A loopback TCP proxy with fault injection.
 
-Stands for the network between an instance and the platform: connections go
-through it byte for byte until it is told to delay, silence, cut or reset them.
+Simulates the network between an instance and the platform: it forwards the
+bytes of each connection unchanged, unless a fault delays, drops or resets them.
 """
 
 import contextlib
@@ -12,9 +12,9 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-CHUNK = 1 << 16
-_RESET = struct.pack("ii", 1, 0)
-_BROKEN = (
+CHUNK_BYTES = 1 << 16
+_LINGER_ZERO = struct.pack("ii", 1, 0)
+_CONNECTION_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     anyio.EndOfStream,
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass
 class LinkFaults:
-    """Faults in force on all connections of a link.
+    """Active faults, for all connections of a link.
 
     Attributes:
-        delay_s: Added to each piece of bytes, either way.
-        silent: Nothing passes either way and nothing is closed; bytes that
-            come meanwhile are lost.
-        deaf: Requests pass, answers are lost.
+        delay_s: Delay of each chunk in both directions, in seconds.
+        silent: Drop all bytes in both directions and leave the connections
+            open.
+        deaf: Forward requests and drop answers.
     """
 
     delay_s: float = 0.0
@@ -39,14 +39,14 @@
 
 
 class Link:
-    """Listens at one address and connects each caller to another."""
+    """Listens on one address and forwards each connection to another."""
 
     def __init__(self, address: str, target: str):
-        """Makes a link; nothing listens yet.
+        """Creates a link that does not listen yet.
 
         Args:
-            address: IP:port where it listens.
-            target: IP:port to which connections go.
+            address: IP:port to listen on.
+            target: IP:port to forward connections to.
         """
         self.faults = LinkFaults()
         self._address = address
@@ -55,59 +55,63 @@
         self._scope = anyio.CancelScope()
 
     async def serve(self) -> None:
-        """Carries connections until cancelled."""
+        """Forwards connections until cancelled."""
         host, _, port = self._address.rpartition(":")
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=int(port)
         )
         with self._scope:
             async with listener:
-                await listener.serve(self._carry)
+                await listener.serve(self._handle)
 
-    def end(self) -> None:
-        """Ends all connections and refuses new ones."""
+    def close(self) -> None:
+        """Resets all connections and stops listening."""
         self.reset()
         self._scope.cancel()
 
     def reset(self) -> None:
-        """Resets all connections."""
-        for scope, near in self._open.items():
-            raw = near.extra(SocketAttribute.raw_socket)
+        """Resets all connections; the listening side sends a TCP RST."""
+        for scope, client in self._open.items():
+            raw = client.extra(SocketAttribute.raw_socket)
             with contextlib.suppress(OSError):
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                raw.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO
+                )
             scope.cancel()
 
-    async def _carry(self, near: SocketStream) -> None:
+    async def _handle(self, client: SocketStream) -> None:
         host, _, port = self._target.rpartition(":")
-        async with near:
+        async with client:
             with contextlib.suppress(OSError):
-                async with await anyio.connect_tcp(host, int(port)) as far:
-                    await self._join(near, far)
+                async with await anyio.connect_tcp(host, int(port)) as upstream:
+                    await self._forward_both_ways(client, upstream)
 
-    async def _join(self, near: SocketStream, far: SocketStream) -> None:
+    async def _forward_both_ways(
+        self, client: SocketStream, upstream: SocketStream
+    ) -> None:
         async with anyio.create_task_group() as group:
             scope = group.cancel_scope
-            self._open[scope] = near
+            self._open[scope] = client
             try:
-                group.start_soon(self._pass, near, far, scope, False)
-                await self._pass(far, near, scope, True)
+                group.start_soon(self._forward, client, upstream, scope, False)
+                await self._forward(upstream, client, scope, True)
             finally:
                 del self._open[scope]
 
-    async def _pass(
+    async def _forward(
         self,
         source: SocketStream,
-        sink: SocketStream,
+        destination: SocketStream,
         scope: anyio.CancelScope,
         answers: bool,
     ) -> None:
-        with contextlib.suppress(*_BROKEN):
+        with contextlib.suppress(*_CONNECTION_ERRORS):
             while True:
-                data = await source.receive(CHUNK)
+                data = await source.receive(CHUNK_BYTES)
                 if self.faults.delay_s:
                     await anyio.sleep(self.faults.delay_s)
                 if self.faults.silent or (answers and self.faults.deaf):
                     continue
-                await sink.send(data)
-        # One end has closed: so does the other.
+                await destination.send(data)
+        # One side has closed the connection: close the other side, too.
         scope.cancel()
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -5,23 +5,23 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from standins.common import Faults, FaultyApp, parser, serve
+from standins.common import FaultInjector, Faults, make_parser, serve
 
 
 class ObjectStore:
-    """Objects by key."""
+    """Stores objects in memory, by key."""
 
     def __init__(self) -> None:
         self.faults = Faults()
         self._objects: dict[str, bytes] = {}
 
-    def app(self) -> FaultyApp:
+    def app(self) -> FaultInjector:
         """Returns the ASGI application."""
         routes = [
             Route("/{key:path}", self.get, methods=["GET"]),
             Route("/{key:path}", self.put, methods=["PUT"]),
         ]
-        return FaultyApp(Starlette(routes=routes), self.faults)
+        return FaultInjector(Starlette(routes=routes), self.faults)
 
     async def get(self, request: Request) -> Response:
         """Returns an object."""
@@ -37,8 +37,8 @@
 
 
 def main() -> None:
-    """Serves the object store."""
-    options = parser("Object store stand-in").parse_args()
+    """Runs the object store stand-in."""
+    options = make_parser("Object store stand-in").parse_args()
     serve(ObjectStore().app(), options.address)
 
 
--- a/standins/platformduties.py
+++ b/standins/platformduties.py
@@ -12,7 +12,7 @@
 from starlette.responses import JSONResponse
 from starlette.routing import Route
 
-from standins.common import Faults, FaultyApp
+from standins.common import FaultInjector, Faults
 
 OK = 200
 CONFLICT = 409
@@ -148,13 +148,13 @@
         self.busy = 0
         self.none_there: set[str] = set()
 
-    def app(self) -> FaultyApp:
+    def app(self) -> FaultInjector:
         """Returns the ASGI application."""
         routes = [
             Route("/usage", self.usage, methods=["POST"]),
             Route("/scale", self.scale, methods=["POST"]),
         ]
-        return FaultyApp(Starlette(routes=routes), self.faults)
+        return FaultInjector(Starlette(routes=routes), self.faults)
 
     async def usage(self, request: Request) -> JSONResponse:
         """Takes a report."""
--- a/standins/platformsite.py
+++ b/standins/platformsite.py
@@ -149,7 +149,7 @@
         self.ended.append(name)
         self.kill_server(name)
         if name in self.links:
-            self.links.pop(name).end()
+            self.links.pop(name).close()
         self._group.start_soon(self._start_again, name, service)
 
     async def _start_again(self, name: str, service: str) -> None:
--- a/standins/platformstore.py
+++ b/standins/platformstore.py
@@ -12,7 +12,7 @@
 from starlette.responses import JSONResponse
 from starlette.routing import Route
 
-from standins.common import Faults, FaultyApp
+from standins.common import FaultInjector, Faults
 
 PAGE = 500
 
@@ -58,14 +58,14 @@
         self._version = 0
         self._changed = asyncio.Event()
 
-    def app(self) -> FaultyApp:
+    def app(self) -> FaultInjector:
         """Returns the ASGI application."""
         routes = [
             Route("/-/rows-tx", self.transact, methods=["POST"]),
             Route("/-/rows-get", self.read, methods=["GET"]),
             Route("/-/rows-feed", self.feed, methods=["GET"]),
         ]
-        return FaultyApp(Starlette(routes=routes), self.faults)
+        return FaultInjector(Starlette(routes=routes), self.faults)
 
     def put(self, table: str, key: str, value: dict) -> None:
         """Writes a row, as the operator or a server does."""
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service, with a journal of what really ran."""
+"""Stand-in for a plain HTTP service, with a journal of the calls it ran."""
 
 import asyncio
 import dataclasses
@@ -9,18 +9,18 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from standins.common import drop, parser, serve, set_faults
+from standins.common import make_parser, send_truncated, serve, set_faults
 
 
 @dataclasses.dataclass
 class ServiceFaults:
-    """Faults in force.
+    """Active faults; POST /faults sets the fields that its body names.
 
     Attributes:
-        slow_s: Time that a run takes besides the usual one, in seconds.
-        refuse: Number of coming calls that are refused before they run.
-        drop_after: Number of coming calls whose answer is lost after the run.
-        leaving: Refuse all calls, since the server is leaving.
+        slow_s: Additional run time of a call, in seconds.
+        refuse: Number of upcoming calls that are refused before they run.
+        drop_after: Number of upcoming calls that run but are not answered.
+        leaving: Refuse all calls, as a server that is shutting down does.
     """
 
     slow_s: float = 0.0
@@ -30,7 +30,7 @@
 
 
 class PlainService:
-    """Runs calls and keeps a journal."""
+    """Runs calls and records each of them in a journal."""
 
     def __init__(self, name: str, run_s: float, *, deduplicates: bool):
         self.faults = ServiceFaults()
@@ -56,7 +56,7 @@
         elif scope["path"] in ("/load", "/journal"):
             await self._app(scope, receive, send)
         else:
-            await self._call(scope, receive, send)
+            await self._handle_call(scope, receive, send)
 
     async def load(self, request: Request) -> JSONResponse:
         """Returns the load report."""
@@ -72,11 +72,11 @@
         )
 
     async def journal(self, request: Request) -> JSONResponse:
-        """Returns every run in order."""
+        """Returns every call that ran, in order."""
         del request
         return JSONResponse({"runs": self._journal})
 
-    async def _call(self, scope, receive, send) -> None:
+    async def _handle_call(self, scope, receive, send) -> None:
         request = Request(scope, receive)
         refusal = self._refusal()
         if refusal is not None:
@@ -88,7 +88,7 @@
             await self._run(request, key, body)
         if self.faults.drop_after > 0:
             self.faults.drop_after -= 1
-            await drop(send)
+            await send_truncated(send)
             return
         answer = {"done": scope["path"], "body": body, "by": self._name}
         if self._deduplicates and key:
@@ -124,8 +124,8 @@
 
 
 def main() -> None:
-    """Serves a plain service."""
-    args = parser("Plain service stand-in")
+    """Runs the service stand-in."""
+    args = make_parser("Plain service stand-in")
     args.add_argument("--name", default="service")
     args.add_argument("--run-ms", type=float, default=5.0)
     args.add_argument("--deduplicates", action="store_true")
