--- a/demo/platform.py
+++ b/demo/platform.py
@@ -1,7 +1,7 @@
-"""Shows the platform's interface: a small site and two instances as processes.
+"""Demo of the platform's interface, with a small site and two instances.
 
-Sends a request of each kind, then a stream whose server leaves in mid-way, and
-prints what came back and what one instance logged of it.
+Sends a request to each route, then a stream whose server is drained before the
+stream ends. Prints the results and one instance's log of that stream.
 """
 
 import contextlib
@@ -35,8 +35,8 @@
 
 async def main() -> int:
     """Runs the demo; returns the exit status."""
-    # The stand-ins are ended in the middle of waits, which the server would
-    # report at length.
+    # The stand-ins are cancelled while they wait; uvicorn would log a
+    # traceback for each.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL + 1)
     with tempfile.TemporaryDirectory(prefix="jasminerelay-") as folder:
         site = PlatformSite(SiteOptions(engines=3), pathlib.Path(folder))
@@ -44,34 +44,36 @@
             paths = [site.settings(f"edge-{n + 1}") for n in range(INSTANCES)]
             instances = _start(paths)
             try:
-                good = await _show(site, paths)
+                good = await _run_requests(site, paths)
             finally:
                 good = await anyio.to_thread.run_sync(_stop, instances) and good
             _print_log(paths[0].with_suffix(".log"), "demo-leaving")
     return 0 if good else 1
 
 
-async def _show(site: PlatformSite, paths: list[pathlib.Path]) -> bool:
+async def _run_requests(site: PlatformSite, paths: list[pathlib.Path]) -> bool:
     listen = [tomllib.loads(p.read_text())["listenAddrs"] for p in paths]
     for item in listen:
-        await _until_ready(item["readiness"])
+        await _wait_until_ready(item["readiness"])
     print(f"{INSTANCES} instances are ready")
     entries = f"http://{listen[0]['registry']}/-/resolve?name={HOST}"
     async with httpcore.AsyncConnectionPool() as pool:
-        count = await _until_all_listed(pool, entries)
-        print(f"callers are told to use {count} addresses")
+        count = await _wait_until_all_listed(pool, entries)
+        print(f"the registry lists {count} addresses")
         good = True
         for name, method, path, fields in SAMPLES:
-            reply = await _ask(pool, listen[0]["front"], method, path, fields)
+            reply = await _send_request(
+                pool, listen[0]["front"], method, path, fields
+            )
             size = reply.content.count(b"\n\n") or 1
             print(f"{name:8} {reply.status} {size} event(s)")
             good = good and reply.status == 200
-        whole = await _leave_midway(site, pool, listen[0]["front"])
-    print(f"a stream whose server left: {whole} of {EVENTS} events")
+        whole = await _count_drained_stream(site, pool, listen[0]["front"])
+    print(f"stream whose server was drained: {whole} of {EVENTS} events")
     return good and whole == EVENTS
 
 
-async def _until_all_listed(pool, entries: str) -> int:
+async def _wait_until_all_listed(pool, entries: str) -> int:
     with anyio.fail_after(WAIT_S):
         while True:
             found = json.loads((await pool.request("GET", entries)).content)
@@ -80,21 +82,21 @@
             await anyio.sleep(POLL_S)
 
 
-async def _leave_midway(site, pool, front: str) -> int:
+async def _count_drained_stream(site, pool, front: str) -> int:
     replies = []
 
-    async def ask() -> None:
+    async def send_stream() -> None:
         fields = {
             "Token-Usage": f"6000,{EVENTS}",
             "Length-Hint": str(EVENTS),
             "Attempt-Id": "demo-leaving",
         }
         replies.append(
-            await _ask(pool, front, "POST", "/sheet/2/stream", fields)
+            await _send_request(pool, front, "POST", "/sheet/2/stream", fields)
         )
 
     async with anyio.create_task_group() as group:
-        group.start_soon(ask)
+        group.start_soon(send_stream)
         await anyio.sleep(0.3)
         for name, server in site.servers.items():
             if server.running:
@@ -102,7 +104,7 @@
     return replies[0].content.count(b"\n\n")
 
 
-async def _ask(pool, front: str, method: str, path: str, fields: dict):
+async def _send_request(pool, front: str, method: str, path: str, fields: dict):
     headers = {
         "Host": HOST,
         "Attempt-Id": f"demo{path}",
@@ -115,7 +117,7 @@
     )
 
 
-async def _until_ready(address: str) -> None:
+async def _wait_until_ready(address: str) -> None:
     url = f"http://{address}/-/readyz"
     with anyio.fail_after(WAIT_S):
         async with httpcore.AsyncConnectionPool() as pool:
@@ -127,7 +129,7 @@
 
 
 def _start(paths: list[pathlib.Path]) -> list[subprocess.Popen]:
-    """Starts an instance for each settings file, with its log beside it."""
+    """Starts an instance per settings file, logging to a file beside it."""
     started = []
     for path in paths:
         environ = {**os.environ, "JASMINERELAY_BOOT": str(path)}
@@ -143,7 +145,7 @@
 
 
 def _stop(instances: list[subprocess.Popen]) -> bool:
-    """Stops the instances; returns whether all ended in order."""
+    """Stops the instances; returns whether all exited with status 0."""
     for process in instances:
         process.terminate()
     return all(process.wait(WAIT_S) == 0 for process in instances)
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,6 +1,6 @@
-"""Shows the whole system: starts it, sends requests of every class, stops it.
+"""Demo of the whole system: starts it, sends requests of every class, stops it.
 
-With --serve it keeps the system up and prints how to reach it.
+With --serve, keeps the system running and prints its addresses and keys.
 """
 
 import dataclasses
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sample:
-    """A request of one class."""
+    """A model request of one service class."""
 
     class_name: str
     key: str
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceSample:
-    """A call of a plain service."""
+    """A call to a plain service."""
 
     class_name: str
     key: str
@@ -100,7 +100,7 @@
         if "--serve" in sys.argv[1:]:
             return _serve(system)
         failures = _send_all(system)
-        _burn(system)
+        _show_burn(system)
         return _stop(system, failures)
 
 
@@ -155,13 +155,13 @@
     return status == 200
 
 
-def _burn(system: System) -> None:
+def _show_burn(system: System) -> None:
     relay = f"http://{system.daemons[0].operators}"
     with tempfile.NamedTemporaryFile(
         prefix="burn-", suffix=".html", delete=False
     ) as page:
         pass
-    print("\nservice-level burn:", flush=True)
+    print("\nerror budget burn by class:", flush=True)
     cli.main(
         [
             "burn",
@@ -170,7 +170,7 @@
             f"--html={page.name}",
         ]
     )
-    print(f"as a page: {page.name}\n")
+    print(f"HTML report: {page.name}\n")
 
 
 def _stop(system: System, failures: int) -> int:
@@ -195,10 +195,13 @@
         ' [{"role": "user", "content": "Is a couch allowed?"}]}\''
     )
     print("stop with Ctrl-C", flush=True)
-    asked: list[int] = []
+    received_signals: list[int] = []
     for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, lambda got, _: asked.append(got))
-    while not asked:
+        signal.signal(
+            number,
+            lambda signal_number, _: received_signals.append(signal_number),
+        )
+    while not received_signals:
         time.sleep(POLL_S)
     return _stop(system, 0)
 
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -1,7 +1,7 @@
-"""Starts a whole system as separate processes and ends it again.
+"""Starts and stops a complete system whose parts run as separate processes.
 
-For the demo, the tests and the benchmarks. Ports come from the kernel; only
-processes that were started here are ended, by their id.
+Used by the demo, the tests and the benchmarks. The kernel allocates the ports.
+Only processes that were started here are ended, by their process id.
 """
 
 import dataclasses
@@ -25,19 +25,19 @@
 PEER_SECRET = "peer-secret-of-the-demo"
 RESUME_SECRET = "resume-secret-of-the-demo"
 START_TIMEOUT_S = 60.0
-START_TRIES = 3
+START_ATTEMPTS = 3
 STOP_TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass
 class Process:
-    """A process that was started here.
+    """A child process that listens on a port.
 
     Attributes:
         name: Name within the system.
         address: IP:port that it listens on.
-        popen: Handle of the process.
-        log: File that holds its output.
+        popen: Process handle.
+        log: File with its output.
     """
 
     name: str
@@ -51,35 +51,35 @@
         return f"http://{self.address}"
 
     def kill(self) -> None:
-        """Ends it at once."""
+        """Kills the process and waits for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def freeze(self) -> None:
-        """Stops it from running until it is thawed."""
+        """Suspends the process by SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Lets it run again."""
+        """Resumes the process by SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Asks it for a planned stop."""
+        """Requests a graceful shutdown by SIGTERM."""
         self.popen.send_signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Waits for its end; returns the exit status."""
+        """Waits until the process ends; returns its exit status."""
         return self.popen.wait(timeout_s)
 
 
 @dataclasses.dataclass
 class Daemon(Process):
-    """A daemon.
+    """A router process.
 
     Attributes:
-        operators: IP:port of the operators' port.
-        peers: IP:port towards other instances.
-        settings: Path of its settings.
+        operators: IP:port for operators.
+        peers: IP:port for other instances.
+        settings: Path of its settings file.
     """
 
     operators: str = ""
@@ -89,19 +89,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """What a system is made of.
+    """Composition of a system.
 
     Attributes:
         examples: Manifests whose pools and services are started.
         daemons: Number of daemons.
-        engine: More arguments of the engines.
-        table: More arguments of the table service.
-        service: More arguments of the plain services.
-        max_engines: Most engines started for a pool.
-        max_services: Most servers started for a service.
-        settings: More settings of the daemons, by section.
-        manifest: Replacements in the manifest's text, pattern to text.
-        list_lag_s: Lag of the instance list.
+        engine: Additional arguments of the engines.
+        table: Additional arguments of the table service.
+        service: Additional arguments of the plain services.
+        max_engines: Maximum number of engines per pool.
+        max_services: Maximum number of servers per service.
+        settings: Additional settings of the daemons, by section.
+        manifest: Replacements in the manifest text: pattern, replacement.
+        list_lag_s: Delay after which the instance list shows a change.
     """
 
     examples: tuple[str, ...] = ("moreton-bay.toml",)
@@ -118,12 +118,12 @@
     list_lag_s: float = 0.0
 
 
-class PortTakenError(Exception):
-    """A process ended at its start."""
+class StartError(Exception):
+    """A process exited before it was ready, probably as its port was taken."""
 
 
 class System:
-    """All processes of one system; use as a context manager."""
+    """All processes of one system; a context manager."""
 
     def __init__(self, options: Options):
         self.options = options
@@ -134,7 +134,7 @@
         self._path = pathlib.Path(self._dir.name)
 
     def __enter__(self) -> "System":
-        # Whoever ends the launcher ends its processes, too.
+        # On SIGTERM, exits through __exit__, so that the child processes end.
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
         try:
             self.start()
@@ -149,32 +149,32 @@
     def start(self) -> None:
         """Starts every process and applies the manifest.
 
-        A port that the kernel said was free may be taken before its process
-        binds it, by any outgoing connection; then all start again.
+        Between the check that a port is free and the bind, an outgoing
+        connection may take the port. Then the whole system is started again.
         """
-        for _ in range(START_TRIES):
+        for _ in range(START_ATTEMPTS):
             try:
                 self._start()
                 return
-            except PortTakenError:
-                self._end_all()
+            except StartError:
+                self._kill_all()
         self._start()
 
     def _start(self) -> None:
         options = self.options
-        self._standin("table", "table", *options.table)
-        self._standin("objects", "objects")
-        self._standin(
+        self._start_standin("table", "table", *options.table)
+        self._start_standin("objects", "objects")
+        self._start_standin(
             "instances", "instances", "--lag-s", str(options.list_lag_s)
         )
-        self._standin("weights", "weights")
+        self._start_standin("weights", "weights")
         self.manifest = self._start_backends()
         for process in self.processes.values():
-            self._await(process, "/faults", "POST")
+            self._wait_until_answering(process, "/faults", "POST")
         for index in range(options.daemons):
             self.start_daemon(index)
         for daemon in self.daemons:
-            self._await(daemon, "/healthz", "GET")
+            self._wait_until_answering(daemon, "/healthz", "GET")
         if self.daemons and self.manifest:
             self.apply(self.manifest)
             for daemon in self.daemons:
@@ -182,10 +182,10 @@
 
     def stop(self) -> None:
         """Ends every process."""
-        self._end_all()
+        self._kill_all()
         self._dir.cleanup()
 
-    def _end_all(self) -> None:
+    def _kill_all(self) -> None:
         started = (*self.daemons, *self.processes.values())
         for process in started:
             if process.popen.poll() is None:
@@ -195,16 +195,18 @@
         self.daemons.clear()
         self.processes.clear()
 
-    def _await(self, process: Process, path: str, method: str) -> None:
+    def _wait_until_answering(
+        self, process: Process, path: str, method: str
+    ) -> None:
         def ready() -> bool:
             if process.popen.poll() is not None:
-                raise PortTakenError(process.log.read_text()[-500:])
+                raise StartError(process.log.read_text()[-500:])
             return answers(process.url + path, method)
 
         wait_for(ready)
 
     def start_daemon(self, index: int) -> Daemon:
-        """Starts a daemon and tells the instance list of it."""
+        """Starts a daemon and adds it to the instance list."""
         name = f"relay-{index + 1}"
         addresses = [free_address() for _ in range(3)]
         path = self._path / f"{name}.toml"
@@ -230,7 +232,7 @@
         return daemon
 
     def settings_text(self, name: str, index: int, addresses: list[str]) -> str:
-        """Returns the settings of a daemon."""
+        """Returns the text of a daemon's settings file."""
         sections: dict[str, dict[str, Any]] = {
             "": {
                 "instance": name,
@@ -263,7 +265,13 @@
     def apply(
         self, text: str, daemon: Daemon | None = None, over: int | None = None
     ) -> dict[str, Any]:
-        """Applies a manifest through a daemon."""
+        """Applies a manifest through a daemon.
+
+        Args:
+            text: The manifest.
+            daemon: Daemon to use; the first one if left out.
+            over: Manifest version that it replaces; any if left out.
+        """
         daemon = daemon or self.daemons[0]
         headers = {} if over is None else {"if-match": str(over)}
         status, body = call(
@@ -278,12 +286,12 @@
         return body
 
     def status(self, daemon: Daemon) -> dict[str, Any]:
-        """Returns the state of a daemon as operators see it."""
+        """Returns a daemon's status from its operators' interface."""
         url = f"http://{daemon.operators}/v1/status"
         return call("GET", url, token=OPERATOR_TOKEN)[1]
 
     def fault(self, name: str, **fields: Any) -> None:
-        """Tells a stand-in to have faults."""
+        """Sets faults of a stand-in."""
         status, body = call(
             "POST", self.processes[name].url + "/faults", fields
         )
@@ -291,7 +299,7 @@
             raise RuntimeError(f"faults of {name}: {body}")
 
     def restart(self, name: str) -> Process:
-        """Starts a stand-in again that was killed, on the same address."""
+        """Restarts a stand-in that was killed, on the same address."""
         old = self.processes[name]
         popen, log = self._spawn(name, old.popen.args)
         self.processes[name] = Process(name, old.address, popen, log)
@@ -299,7 +307,7 @@
         return self.processes[name]
 
     def journal(self, prefix: str, field: str) -> list[dict[str, Any]]:
-        """Returns the journals of all stand-ins whose name has a prefix."""
+        """Returns the journals of all running stand-ins with a name prefix."""
         entries = []
         for name, process in self.processes.items():
             if name.startswith(prefix) and process.popen.poll() is None:
@@ -307,7 +315,7 @@
         return entries
 
     def logs(self) -> list[pathlib.Path]:
-        """Returns the logs of all daemons, also of those that ended."""
+        """Returns the log files of all daemons, including those that ended."""
         return sorted(self._path.glob("relay-*.log"))
 
     def _start_backends(self) -> str:
@@ -316,17 +324,17 @@
             text = (ROOT / "examples" / example).read_text()
             for pattern, replacement in self.options.manifest:
                 text = re.sub(pattern, replacement, text)
-            texts.append(self._start_group(text))
+            texts.append(self._start_servers(text))
         return merge_manifests(texts)
 
-    def _start_group(self, text: str) -> str:
+    def _start_servers(self, text: str) -> str:
         parsed = tomllib.loads(text)
         for pool in parsed.get("pools", []):
             for server in pool["servers"][: self.options.max_engines]:
-                fencing = ["--checks-fencing"] * server.get(
+                fencing_flag = ["--checks-fencing"] * server.get(
                     "checks_fencing", False
                 )
-                process = self._standin(
+                process = self._start_standin(
                     server["name"],
                     "engine",
                     "--models",
@@ -335,28 +343,34 @@
                     str(server["slots"]),
                     "--weights",
                     self.processes["weights"].url,
-                    *fencing,
+                    *fencing_flag,
                     *self.options.engine,
                 )
                 text = text.replace(server["address"], process.address)
-            text = _without(text, pool["servers"][self.options.max_engines :])
+            text = _remove_servers(
+                text, pool["servers"][self.options.max_engines :]
+            )
         for service in parsed.get("services", []):
             for server in service["servers"][: self.options.max_services]:
-                dedupe = ["--deduplicates"] * server.get("deduplicates", False)
-                process = self._standin(
+                dedup_flag = ["--deduplicates"] * server.get(
+                    "deduplicates", False
+                )
+                process = self._start_standin(
                     server["name"],
                     "service",
                     "--name",
                     server["name"],
-                    *dedupe,
+                    *dedup_flag,
                     *self.options.service,
                 )
                 text = text.replace(server["address"], process.address)
-            spare = service["servers"][self.options.max_services :]
-            text = _without(text, spare)
+            excess = service["servers"][self.options.max_services :]
+            text = _remove_servers(text, excess)
         return text
 
-    def _standin(self, name: str, module: str, *arguments: str) -> Process:
+    def _start_standin(
+        self, name: str, module: str, *arguments: str
+    ) -> Process:
         address = free_address()
         command = [
             sys.executable,
@@ -383,12 +397,12 @@
 
 
 def merge_manifests(texts: list[str]) -> str:
-    """Puts the manifests of several users together to one."""
-    heads = [text.split("[[", 1) for text in texts]
+    """Merges several manifests into one."""
+    split_texts = [text.split("[[", 1) for text in texts]
     note = 'note = "' + " and ".join(
-        re.search(r'note = "(.*)"', head)[1] for head, _ in heads
+        re.search(r'note = "(.*)"', head)[1] for head, _ in split_texts
     )
-    return note + '"\n\n' + "\n".join("[[" + tail for _, tail in heads)
+    return note + '"\n\n' + "\n".join("[[" + tail for _, tail in split_texts)
 
 
 def call(
@@ -400,19 +414,19 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> tuple[int, Any]:
-    """Makes one call; returns the status and the decoded JSON body."""
+    """Sends a request; returns the status and the body, decoded if JSON."""
     content = b""
     if body is not None:
         content = body if isinstance(body, str) else json.dumps(body)
         content = content.encode()
-    sent = {"content-length": str(len(content)), **(headers or {})}
+    request_headers = {"content-length": str(len(content)), **(headers or {})}
     if token:
-        sent["authorization"] = f"Bearer {token}"
+        request_headers["authorization"] = f"Bearer {token}"
     timeout = dict.fromkeys(("connect", "read", "write", "pool"), timeout_s)
     response = httpcore.request(
         method,
         url,
-        headers=sent,
+        headers=request_headers,
         content=content,
         extensions={"timeout": timeout},
     )
@@ -423,45 +437,45 @@
 
 
 def answers(url: str, method: str = "GET") -> bool:
-    """Returns whether a process answers at all."""
+    """Returns whether a URL answers, with any status."""
     try:
         call(method, url, timeout_s=1.0)
-    except _NO_ANSWER:
+    except _CONNECTION_ERRORS:
         return False
     return True
 
 
 def is_ready(daemon: Daemon) -> bool:
-    """Returns whether a daemon takes callers."""
+    """Returns whether a daemon is ready for requests."""
     try:
         return call("GET", daemon.url + "/readyz")[0] == 200
-    except _NO_ANSWER:
+    except _CONNECTION_ERRORS:
         return False
 
 
 def wait_for(condition, timeout_s: float = START_TIMEOUT_S) -> None:
-    """Waits for an event that is sure to come.
+    """Polls a condition until it holds.
 
     Raises:
-        TimeoutError: if it does not.
+        TimeoutError: if it does not hold within the timeout.
     """
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError("the awaited event did not come")
+            raise TimeoutError("condition was not met in time")
         time.sleep(0.02)
 
 
-_NO_ANSWER = (
+_CONNECTION_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
 )
-_given: set[int] = set()
+_allocated_ports: set[int] = set()
 
 
 def free_address() -> str:
-    """Returns a loopback address whose port the kernel says is free."""
+    """Returns a loopback address whose port is free for TCP and UDP."""
     while True:
         with (
             socket.socket(socket.AF_INET, socket.SOCK_STREAM) as tcp,
@@ -473,13 +487,13 @@
                 udp.bind(("127.0.0.1", port))
             except OSError:
                 continue
-        if port not in _given:
-            _given.add(port)
+        if port not in _allocated_ports:
+            _allocated_ports.add(port)
             return f"127.0.0.1:{port}"
 
 
-def _without(text: str, servers: list[dict[str, Any]]) -> str:
-    """Takes servers out of a manifest's text."""
+def _remove_servers(text: str, servers: list[dict[str, Any]]) -> str:
+    """Removes servers from a manifest's text."""
     for server in servers:
         pattern = (
             r"\[\[\w+\.servers\]\]\nname = \""
@@ -491,7 +505,7 @@
 
 
 def cpu_seconds(process: Process) -> float:
-    """Returns the processor time that a process has used, in seconds."""
+    """Returns the CPU time that a process has used, in seconds."""
     stat = pathlib.Path(f"/proc/{process.popen.pid}/stat").read_text()
     fields = stat.rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
@@ -499,6 +513,6 @@
 
 
 def resident_bytes(process: Process) -> int:
-    """Returns the memory that a process holds, in bytes."""
+    """Returns the resident memory of a process, in bytes."""
     statm = pathlib.Path(f"/proc/{process.popen.pid}/statm").read_text()
     return int(statm.split()[1]) * os.sysconf("SC_PAGE_SIZE")
--- a/standins/platformduties.py
+++ b/standins/platformduties.py
@@ -1,7 +1,8 @@
-"""Stand-in for the calls to the platform that one instance at a time makes.
+"""Stand-in for the platform's API that the duties call under a lease.
 
-`DutyJudge` says what the platform answers and notes what must never be seen;
-`PlatformDuties` serves it by the platform's published interface.
+`DutyJudge` decides the platform's responses and records violations of the
+rules, such as two lease holders at once. `PlatformDuties` serves it over HTTP,
+with the platform's published API.
 """
 
 import dataclasses
@@ -19,13 +20,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Act:
-    """A call that was taken.
+class AcceptedCall:
+    """An accepted call.
 
     Attributes:
-        at: When, in seconds.
-        machine: Who made it.
-        fence: Its fencing number.
+        at: Time of the call, in seconds.
+        machine: Instance that made the call.
+        fence: Fencing token of the call.
     """
 
     at: float
@@ -34,32 +35,34 @@
 
 
 class DutyJudge:
-    """The platform's view of the duties, over all instances.
+    """Accepts or refuses the calls of all instances and checks them.
 
     Attributes:
-        broken: What must never be seen, and was.
-        reports: Counts of each window that was reported.
-        reported_at: When the first report of each window came.
-        servers: Servers ordered by service, zone and kind.
-        acts: Calls that were taken, by subject.
-        fenced: Calls that were refused for a higher number seen.
+        broken: Violations found.
+        reports: Reported request counts, by window.
+        reported_at: Time of the first report, by window.
+        servers: Number of servers ordered, by service, zone and whether they
+            are preemptible.
+        accepted_calls: Accepted calls, by subject.
+        refused_count: Number of calls refused since a higher token was seen.
     """
 
     def __init__(self, *, checks_fences: bool = True, lease_s: float = 3.0):
-        """Makes a platform that has seen nothing.
+        """Creates a checker without recorded calls.
 
         Args:
-            checks_fences: Whether calls with lower numbers are refused.
-            lease_s: Time in which no two machines may act in turns.
+            checks_fences: Whether calls with outdated tokens are refused.
+            lease_s: Lease duration, within which calls of two instances must
+                not alternate.
         """
-        self._checks = checks_fences
+        self._checks_fences = checks_fences
         self._lease_s = lease_s
         self.broken: list[str] = []
         self.reports: dict[int, dict[str, int]] = {}
         self.reported_at: dict[int, float] = {}
         self.servers: dict[tuple[str, str, bool], int] = {}
-        self.acts: dict[str, list[Act]] = {}
-        self.fenced = 0
+        self.accepted_calls: dict[str, list[AcceptedCall]] = {}
+        self.refused_count = 0
 
     def usage(
         self,
@@ -71,82 +74,114 @@
         *,
         excused: bool = False,
     ) -> int:
-        """Takes a report; returns the status of the answer."""
+        """Handles a usage report; returns the response status.
+
+        Args:
+            machine: Instance that sent it.
+            fence: Its fencing token.
+            window: Number of the usage window.
+            counts: Request counts by organisation.
+            now: Time of the call.
+            excused: Whether the instance froze before the call, so that an
+                outdated token or alternation is no violation.
+        """
         if not self._admit("usage", machine, fence, now, excused):
             return CONFLICT
         held = self.reports.setdefault(window, counts)
         self.reported_at.setdefault(window, now)
         if held != counts:
-            self.broken.append(f"two reports of {window}: {held}, {counts}")
+            self.broken.append(
+                f"window {window} reported twice: {held}, {counts}"
+            )
         return OK
 
     def scale(
         self,
         machine: str,
         fence: int,
-        place: tuple[str, str, bool],
+        server_group: tuple[str, str, bool],
         count: int,
         now: float,
         *,
         excused: bool = False,
     ) -> int:
-        """Takes an order of servers; returns the status of the answer."""
-        subject = f"{place[0]}/{place[1]}"
+        """Handles an order of servers; returns the response status.
+
+        Args:
+            machine: Instance that sent it.
+            fence: Its fencing token.
+            server_group: Service, zone and whether the servers are preemptible.
+            count: Number of servers.
+            now: Time of the call.
+            excused: Whether the instance froze before the call, so that an
+                outdated token or alternation is no violation.
+        """
+        subject = f"{server_group[0]}/{server_group[1]}"
         if not self._admit(subject, machine, fence, now, excused):
             return CONFLICT
-        self.servers[place] = count
+        self.servers[server_group] = count
         return OK
 
     def _admit(
         self, subject: str, machine: str, fence: int, now: float, excused: bool
     ) -> bool:
-        acts = self.acts.setdefault(subject, [])
-        for act in acts:
-            if act.fence == fence and act.machine != machine:
-                self._break(f"{subject}: {fence} by {act.machine}, {machine}")
-        highest = max((act.fence for act in acts), default=0)
+        accepted_calls = self.accepted_calls.setdefault(subject, [])
+        for accepted in accepted_calls:
+            if accepted.fence == fence and accepted.machine != machine:
+                self._record_violation(
+                    f"{subject}: token {fence} of {accepted.machine}, {machine}"
+                )
+        highest = max(
+            (accepted.fence for accepted in accepted_calls), default=0
+        )
         if fence < highest:
-            if self._checks:
-                self.fenced += 1
+            if self._checks_fences:
+                self.refused_count += 1
                 return False
             if excused:
                 return True
-            self._break(f"{subject}: {fence} by {machine} after {highest}")
-        acts.append(Act(now, machine, fence))
-        if not excused and self._in_turns(acts, machine, now):
-            self._break(f"{subject}: {machine} acted in turns at {now:.2f}")
+            self._record_violation(
+                f"{subject}: token {fence} of {machine} after {highest}"
+            )
+        accepted_calls.append(AcceptedCall(now, machine, fence))
+        if not excused and self._has_alternated(accepted_calls, machine, now):
+            self._record_violation(
+                f"{subject}: {machine} alternates with another at {now:.2f}"
+            )
         return True
 
-    def _in_turns(self, acts: list[Act], machine: str, now: float) -> bool:
-        other = False
-        for act in reversed(acts):
-            if now - act.at >= self._lease_s:
+    def _has_alternated(
+        self, accepted_calls: list[AcceptedCall], machine: str, now: float
+    ) -> bool:
+        other_seen = False
+        for accepted in reversed(accepted_calls):
+            if now - accepted.at >= self._lease_s:
                 return False
-            if act.machine != machine:
-                other = True
-            elif other:
+            if accepted.machine != machine:
+                other_seen = True
+            elif other_seen:
                 return True
         return False
 
-    def _break(self, what: str) -> None:
-        self.broken.append(what)
+    def _record_violation(self, violation: str) -> None:
+        self.broken.append(violation)
 
 
 class PlatformDuties:
     """Serves the calls over HTTP.
 
     Attributes:
-        judge: What it has seen.
-        faults: Faults in force.
-        busy: Coming calls that are turned away.
-        none_there: Zones in which there are no preemptible servers.
+        judge: Decides the responses and checks the calls.
+        faults: Active faults.
+        busy: Number of upcoming calls that are answered with 429.
+        zones_without_preemptible: Zones without preemptible servers.
     """
 
     def __init__(self, *, checks_fences: bool = True):
         self.judge = DutyJudge(checks_fences=checks_fences)
         self.faults = Faults()
         self.busy = 0
-        self.none_there: set[str] = set()
+        self.zones_without_preemptible: set[str] = set()
 
     def app(self) -> FaultInjector:
         """Returns the ASGI application."""
@@ -157,38 +192,38 @@
         return FaultInjector(Starlette(routes=routes), self.faults)
 
     async def usage(self, request: Request) -> JSONResponse:
-        """Takes a report."""
-        if self._turns_away():
+        """Handles a usage report."""
+        if self._refuse_as_busy():
             return JSONResponse({}, 429)
         body = await request.json()
-        machine, fence = _sender(request)
+        machine, fence = _holder_and_fence(request)
         status = self.judge.usage(
             machine, fence, body["windowNum"], body["counts"], time.monotonic()
         )
         return JSONResponse({}, status)
 
     async def scale(self, request: Request) -> JSONResponse:
-        """Takes an order of servers."""
-        if self._turns_away():
+        """Handles an order of servers."""
+        if self._refuse_as_busy():
             return JSONResponse({}, 429)
         body = await request.json()
-        machine, fence = _sender(request)
+        machine, fence = _holder_and_fence(request)
         preemptible = body.get("preemptible", False)
-        if preemptible and body["zone"] in self.none_there:
+        if preemptible and body["zone"] in self.zones_without_preemptible:
             return JSONResponse({"error": "none of that kind"}, CONFLICT)
-        place = (body["backend"], body["zone"], preemptible)
+        server_group = (body["backend"], body["zone"], preemptible)
         status = self.judge.scale(
-            machine, fence, place, body["desiredCount"], time.monotonic()
+            machine, fence, server_group, body["desiredCount"], time.monotonic()
         )
         return JSONResponse({}, status)
 
-    def _turns_away(self) -> bool:
+    def _refuse_as_busy(self) -> bool:
         if not self.busy:
             return False
         self.busy -= 1
         return True
 
 
-def _sender(request: Request) -> tuple[str, int]:
+def _holder_and_fence(request: Request) -> tuple[str, int]:
     fields = request.headers
     return fields["duty-holder"], int(fields["fencing-token"])
--- a/standins/platformserver.py
+++ b/standins/platformserver.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform's backend servers: model engines and services.
 
-It keeps a journal of what it ran, and of the header fields that came with
-it, so that tests see what a server sees.
+It records every request that it runs, with the header fields, so that tests
+can check what the router sent.
 """
 
 import asyncio
@@ -14,22 +14,24 @@
 
 @dataclasses.dataclass
 class ServerFaults:
-    """Faults in force.
+    """Active faults.
 
     Attributes:
-        refuse: Coming requests that are rejected before they run.
-        fail: Coming requests that run and are answered with 500.
-        mute: Coming requests that get no answer.
-        break_after: Events after which the coming streams break off; 0 for
-            never.
-        cross: Coming requests whose answer names another request.
-        tear_after: Events after which the coming streams end in order, but
-            inside an event; 0 for never.
-        torn: Whether a stream that breaks off ends inside an event.
-        tick_s: Time between two events.
-        fatal: Body of a request under which the server ends; empty for none.
-        fatal_after: Events that such a request gets before the end.
-        limit: Requests a second that it says it takes; empty if it says none.
+        refuse: Number of upcoming requests that are rejected before they
+            run.
+        fail: Number of upcoming requests that run and are answered with 500.
+        mute: Number of upcoming requests that are not answered.
+        break_after: Number of events after which a stream ends without its
+            final chunk; 0 disables the fault.
+        cross: Number of upcoming requests answered with another's id.
+        tear_after: Number of events after which a stream ends with its final
+            chunk, but within an event; 0 disables the fault.
+        torn: Whether a stream that `break_after` ends is cut within an event.
+        tick_s: Time between two events, in seconds.
+        fatal: Body of the requests that crash the server; empty for none.
+        fatal_after: Number of events that are sent before such a crash.
+        limit: Value of the Server-Limit header field, in requests per second;
+            empty for no such field.
     """
 
     refuse: int = 0
@@ -46,16 +48,16 @@
 
 
 @dataclasses.dataclass
-class Ran:
+class ServedRequest:
     """One request that the server ran.
 
     Attributes:
-        attempt: Its id.
-        headers: Its header fields.
+        attempt: Id of the attempt.
+        headers: Header fields.
         target: Path and query.
-        body: Its body.
-        ended: Whether it came to its end.
-        moved: Whether it was stopped to go on elsewhere.
+        body: Body.
+        ended: Whether the complete answer was sent.
+        moved: Whether it was stopped to be continued on another server.
     """
 
     attempt: str
@@ -67,21 +69,31 @@
 
 
 class PlatformServer:
-    """One life of a server.
+    """A backend server, from its start to its end.
 
-    A path that ends in "/stream" is answered with as many events as the
-    output in `Token-Usage` says, all others with a short text.
+    The answer to a path that ends in "/stream" has as many events as the output
+    tokens in the `Token-Usage` header field; other answers are a short text.
+
+    Attributes:
+        name: Name of the server.
+        faults: Active faults.
+        journal: Requests that it ran.
+        arrivals: Times at which requests arrived, also rejected ones.
+        max_running: Maximum number of requests that ran at once.
+        running: Number of requests that run now.
+        moves: Number of requests that were moved to another server.
+        on_crash: Called when a request crashes the server.
     """
 
     def __init__(self, name: str):
         self.name = name
         self.faults = ServerFaults()
-        self.journal: list[Ran] = []
+        self.journal: list[ServedRequest] = []
         self.arrivals: list[float] = []
-        self.most = 0
+        self.max_running = 0
         self.running = 0
         self.moves = 0
-        self.end: Callable[[], None] = lambda: None
+        self.on_crash: Callable[[], None] = lambda: None
 
     async def __call__(self, scope, receive, send) -> None:
         """Serves one request."""
@@ -90,13 +102,13 @@
         headers = {
             key.decode(): value.decode() for key, value in scope["headers"]
         }
-        body = await _body(receive)
+        body = await _read_body(receive)
         if body is None:
             return
         attempt = headers.get("attempt-id", "")
         self.arrivals.append(asyncio.get_running_loop().time())
         if scope["path"] == "/-/kv-move":
-            await self._move(send, json.loads(body))
+            await self._handle_move(send, json.loads(body))
         elif headers.get("expect-instance", self.name) != self.name:
             await self._reject(send, 421, attempt)
         elif self.faults.refuse:
@@ -106,24 +118,26 @@
             target = scope["raw_path"].decode()
             if scope["query_string"]:
                 target += "?" + scope["query_string"].decode()
-            ran = Ran(attempt, headers, target, body)
+            ran = ServedRequest(attempt, headers, target, body)
             self.journal.append(ran)
-            await self._run(scope, receive, send, ran)
+            await self._run_request(scope, receive, send, ran)
 
-    async def _move(self, send, order: dict) -> None:
+    async def _handle_move(self, send, order: dict) -> None:
         for ran in self.journal:
             if ran.attempt == order["id"] and not ran.ended:
                 ran.moved = True
                 self.moves += 1
-                await _json(send, 200, {"handle": "h1", "created": 0})
+                await _send_json(send, 200, {"handle": "h1", "created": 0})
                 return
-        await _json(send, 404, {})
+        await _send_json(send, 404, {})
 
-    async def _run(self, scope, receive, send, ran: Ran) -> None:
+    async def _run_request(
+        self, scope, receive, send, ran: ServedRequest
+    ) -> None:
         self.running += 1
-        self.most = max(self.most, self.running)
-        gone = asyncio.create_task(_until_gone(receive))
-        work = asyncio.create_task(self._answer(scope, send, ran))
+        self.max_running = max(self.max_running, self.running)
+        gone = asyncio.create_task(_wait_for_disconnect(receive))
+        work = asyncio.create_task(self._send_answer(scope, send, ran))
         try:
             await asyncio.wait(
                 {gone, work}, return_when=asyncio.FIRST_COMPLETED
@@ -133,32 +147,34 @@
             gone.cancel()
             work.cancel()
 
-    async def _answer(self, scope, send, ran: Ran) -> None:
+    async def _send_answer(self, scope, send, ran: ServedRequest) -> None:
         faults = self.faults
         if self._is_fatal(ran) and not faults.fatal_after:
-            self.end()
+            self.on_crash()
             await asyncio.sleep(3600)
         if faults.mute:
             faults.mute -= 1
             await asyncio.sleep(3600)
         if faults.fail:
             faults.fail -= 1
-            await self._whole(send, 500, ran, b"failed")
+            await self._send_complete(send, 500, ran, b"failed")
             return
         if scope["path"].endswith("/stream"):
-            await self._stream(send, ran)
+            await self._send_stream(send, ran)
             return
         await asyncio.sleep(TICK_S)
-        await self._whole(send, 200, ran, b"answer to " + ran.attempt.encode())
+        await self._send_complete(
+            send, 200, ran, b"answer to " + ran.attempt.encode()
+        )
 
-    async def _stream(self, send, ran: Ran) -> None:
+    async def _send_stream(self, send, ran: ServedRequest) -> None:
         await send(
             {
                 "type": "http.response.start",
                 "status": 200,
                 "headers": [
                     (b"content-type", b"text/event-stream"),
-                    *self._marks(ran.attempt),
+                    *self._response_headers(ran.attempt),
                 ],
             }
         )
@@ -169,23 +185,25 @@
             if ran.moved:
                 return
             if number > self.faults.fatal_after and self._is_fatal(ran):
-                self.end()
+                self.on_crash()
                 await asyncio.sleep(3600)
             if self.faults.tear_after and number > self.faults.tear_after:
-                await _piece(send, b"id: %d\ndata: to" % number)
+                await _send_chunk(send, b"id: %d\ndata: to" % number)
                 break
             if self.faults.break_after and number > self.faults.break_after:
                 if self.faults.torn:
-                    await _piece(send, b"id: %d\ndata: to" % number)
+                    await _send_chunk(send, b"id: %d\ndata: to" % number)
                 return
-            await _piece(send, b"id: %d\ndata: t%d\n\n" % (number, number))
+            await _send_chunk(send, b"id: %d\ndata: t%d\n\n" % (number, number))
         await send({"type": "http.response.body", "body": b""})
         ran.ended = True
 
-    def _is_fatal(self, ran: Ran) -> bool:
+    def _is_fatal(self, ran: ServedRequest) -> bool:
         return bool(self.faults.fatal) and ran.body == self.faults.fatal
 
-    async def _whole(self, send, status: int, ran: Ran, body: bytes) -> None:
+    async def _send_complete(
+        self, send, status: int, ran: ServedRequest, body: bytes
+    ) -> None:
         attempt = ran.attempt
         if self.faults.cross:
             self.faults.cross -= 1
@@ -197,7 +215,7 @@
                 "status": status,
                 "headers": [
                     (b"content-length", str(len(body)).encode()),
-                    *self._marks(attempt),
+                    *self._response_headers(attempt),
                 ],
             }
         )
@@ -205,7 +223,7 @@
         ran.ended = True
 
     async def _reject(self, send, status: int, attempt: str) -> None:
-        headers = [(b"content-length", b"0"), *self._marks(attempt)]
+        headers = [(b"content-length", b"0"), *self._response_headers(attempt)]
         if status != 421:
             headers.append((b"not-executed", b"1"))
         await send(
@@ -217,7 +235,7 @@
         )
         await send({"type": "http.response.body", "body": b""})
 
-    def _marks(self, attempt: str) -> list[tuple[bytes, bytes]]:
+    def _response_headers(self, attempt: str) -> list[tuple[bytes, bytes]]:
         limit = self.faults.limit
         return [
             (b"attempt-id", attempt.encode()),
@@ -227,7 +245,7 @@
         ]
 
 
-async def _json(send, status: int, value: dict) -> None:
+async def _send_json(send, status: int, value: dict) -> None:
     body = json.dumps(value).encode()
     await send(
         {
@@ -239,12 +257,12 @@
     await send({"type": "http.response.body", "body": body})
 
 
-async def _piece(send, data: bytes) -> None:
+async def _send_chunk(send, data: bytes) -> None:
     await send({"type": "http.response.body", "body": data, "more_body": True})
 
 
-async def _body(receive) -> bytes | None:
-    """Returns the whole body; None if the connection ends within it."""
+async def _read_body(receive) -> bytes | None:
+    """Returns the complete body; None if the client disconnects before."""
     parts = []
     while True:
         message = await receive()
@@ -255,6 +273,6 @@
             return b"".join(parts)
 
 
-async def _until_gone(receive) -> None:
+async def _wait_for_disconnect(receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
--- a/standins/platformsite.py
+++ b/standins/platformsite.py
@@ -1,7 +1,7 @@
 """A small site of the users' platform: store, servers, configuration.
 
-Everything runs in the caller's event loop, on ports from the kernel, so that
-a test or a demo needs no process but the instances it looks at.
+All of it runs in the caller's event loop, on ports that the kernel allocates,
+so that a test or a demo starts no other process than the router's instances.
 """
 
 import contextlib
@@ -24,28 +24,28 @@
 MODEL = "engines"
 PLAIN = "bookings"
 FIRST_IP = 10
-"""Last part of the loopback address before the first instance's."""
+"""Last octet of the loopback address before that of the first instance."""
 
 
 @dataclasses.dataclass(frozen=True)
 class SiteOptions:
-    """What a site is made of.
+    """Composition of a site.
 
     Attributes:
-        engines: Model servers.
-        plain: Servers of the plain service.
-        grace_s: Time from SIGTERM to the end of a process.
-        routes: Changes to the routes' fields, by route name.
-        links: Whether servers and store are reached through links that can
-            be disturbed.
-        fatal: Body of a request under which each server ends that runs it;
-            empty for none.
-        fatal_after: Events that such a request gets before the end.
-        restart_s: Time after which an ended server starts again.
-        duties: Whether one instance at a time has duties.
-        window_s: Length of a window of usage.
-        late_s: Time after a window's end at which its report is due.
-        scaling: What servers may be ordered; empty for none.
+        engines: Number of model servers.
+        plain: Number of servers of the plain service.
+        grace_s: Maximum time from SIGTERM to the end of an instance.
+        routes: Fields to replace in routes, by route name.
+        links: Whether instances reach the store and the servers through
+            links with fault injection.
+        fatal: Body of the requests that crash a server that runs them; empty
+            for none.
+        fatal_after: Number of events that are sent before such a crash.
+        restart_s: Time after which a crashed server restarts.
+        duties: Whether instances perform duties, with calls to the platform.
+        window_s: Length of a usage window.
+        late_s: Time from the end of a window to its report.
+        scaling: Autoscaling configuration of the model servers; empty for none.
     """
 
     engines: int = 2
@@ -63,7 +63,20 @@
 
 
 class PlatformSite:
-    """The running site."""
+    """A running site.
+
+    Attributes:
+        options: Composition of the site.
+        store: Stand-in of the store.
+        duties: Stand-in of the calls that the duties make.
+        duties_address: IP:port of `duties`.
+        servers: Backend servers by name, including those that ended.
+        addresses: IP:port at which instances reach each server, by name.
+        links: Links by the name of their server or instance.
+        version: Version of the configuration.
+        store_address: IP:port of the store.
+        ended: Names of the servers that crashed, in order.
+    """
 
     def __init__(self, options: SiteOptions, folder: pathlib.Path):
         self.options = options
@@ -103,24 +116,24 @@
             group.cancel_scope.cancel()
 
     async def add_server(self, name: str, service: str) -> PlatformServer:
-        """Starts a server and writes its row."""
+        """Starts a server and writes its row to the store."""
         server = PlatformServer(name)
         server.faults.fatal = self.options.fatal
         server.faults.fatal_after = self.options.fatal_after
-        server.end = lambda: self._end(name, service)
+        server.on_crash = lambda: self._crash_server(name, service)
         address = free_address()
         self.servers[name] = server
         await self._listen(name, server, address)
-        self.addresses[name] = self._linked(name, address)
+        self.addresses[name] = self._through_link(name, address)
         self.register(name, service)
         return server
 
     def leaving(self, name: str) -> bool:
-        """Returns whether a server has been ended or told to leave."""
+        """Returns whether a server has ended or is draining."""
         return name not in self._scopes or name in self._leaving
 
     def register(self, name: str, service: str, phase: str = "ready") -> None:
-        """Writes a server's row."""
+        """Writes a server's row, with its phase, to the store."""
         if phase != "ready":
             self._leaving.add(name)
         self.store.put(
@@ -139,30 +152,30 @@
         )
 
     def kill_server(self, name: str) -> None:
-        """Ends a server at once; its row stays for a while."""
+        """Ends a server at once and leaves its row in the store."""
         self._scopes.pop(name).cancel()
 
-    def _end(self, name: str, service: str) -> None:
-        """Ends a server that a request has crashed; it starts again later."""
+    def _crash_server(self, name: str, service: str) -> None:
+        """Ends a server that a request crashed; restarts it after a delay."""
         if name not in self._scopes:
             return
         self.ended.append(name)
         self.kill_server(name)
         if name in self.links:
             self.links.pop(name).close()
-        self._group.start_soon(self._start_again, name, service)
+        self._group.start_soon(self._restart_server, name, service)
 
-    async def _start_again(self, name: str, service: str) -> None:
+    async def _restart_server(self, name: str, service: str) -> None:
         await anyio.sleep(self.options.restart_s)
         self.store.drop("servers", name)
         await self.add_server(f"{name}+", service)
 
     def configure(self, added: Sequence[dict] = (), **changes) -> None:
-        """Writes the next version of the configuration.
+        """Writes a new version of the configuration.
 
         Args:
-            added: Further routes.
-            **changes: Other fields of the configuration.
+            added: Additional routes.
+            **changes: Configuration fields to replace.
         """
         self.version += 3
         routes = [
@@ -188,7 +201,7 @@
                     "name": MODEL,
                     "healthPath": "/healthz",
                     "maxConnections": 64,
-                    **self._scaling(),
+                    **self._autoscale_fields(),
                     "runtime": {
                         "slotCount": 8,
                         "kvCapacity": 100_000,
@@ -215,15 +228,15 @@
         }
         self.store.put("op", "config", value)
 
-    def _scaling(self) -> dict:
+    def _autoscale_fields(self) -> dict:
         scaling = self.options.scaling
         return {"autoscale": scaling} if scaling else {}
 
-    def _duty_lines(self, name: str) -> list[str]:
-        """Returns what an instance's settings say of the duties."""
+    def _duty_settings(self, name: str) -> list[str]:
+        """Returns the lines of an instance's settings that concern duties."""
         if not self.options.duties:
             return []
-        address = self._linked(f"{name}-duties", self.duties_address)
+        address = self._through_link(f"{name}-duties", self.duties_address)
         return [
             "[cloudApi]",
             f'address = "{address}"',
@@ -232,7 +245,7 @@
         ]
 
     def settings(self, name: str, zone: str = "north") -> pathlib.Path:
-        """Writes the settings file of an instance; returns its path."""
+        """Writes an instance's settings file; returns its path."""
         listen = {
             key: free_address() for key in ("front", "readiness", "registry")
         }
@@ -240,7 +253,7 @@
         port = int(peers.rpartition(":")[2])
         lines = [
             f'nodeName = "{name}"',
-            f'ip = "{self._next_ip()}"',
+            f'ip = "{self._new_ip()}"',
             f'zone = "{zone}"',
             'region = "r"',
             f"internalPortRange = [{port}, {port}]",
@@ -253,8 +266,8 @@
             f"windowS = {self.options.window_s}",
             f"usageLateS = {self.options.late_s}",
             "[platform]",
-            f'address = "{self._linked(name, self.store_address)}"',
-            *self._duty_lines(name),
+            f'address = "{self._through_link(name, self.store_address)}"',
+            *self._duty_settings(name),
         ]
         path = self._folder / f"{name}.toml"
         if self.options.links:
@@ -262,24 +275,24 @@
         path.write_text("\n".join(lines) + "\n")
         return path
 
-    def _next_ip(self) -> str:
-        """Returns an address of its own for an instance, as it has there.
+    def _new_ip(self) -> str:
+        """Returns a loopback address that no other instance has.
 
-        Instances write a row under their address. With one address for all
-        they overwrote each other's rows, and two that started apart by more
-        than the pause before reading never met.
+        Instances write a row under their address. With a shared address they
+        overwrite each other's rows, and two instances never find each other if
+        the second starts after the first has read the rows.
         """
         self._instances += 1
         return f"127.0.0.{FIRST_IP + self._instances}"
 
-    def _linked(self, name: str, address: str) -> str:
-        """Returns an address at which another one is reached by a link."""
+    def _through_link(self, name: str, address: str) -> str:
+        """Returns the address of a new link to `address`, if links are on."""
         if not self.options.links:
             return address
-        near = free_address()
-        self.links[name] = Link(near, address)
+        link_address = free_address()
+        self.links[name] = Link(link_address, address)
         self._group.start_soon(self.links[name].serve)
-        return near
+        return link_address
 
     async def _listen(self, name: str, app, address: str) -> None:
         port = ports.port(app, address, date_header=False)
--- a/standins/platformstore.py
+++ b/standins/platformstore.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' platform's store, by its published interface."""
+"""Stand-in for the store of the users' platform, with its published API."""
 
 import asyncio
 import base64
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoredRow:
-    """A row, or the mark of one that was dropped."""
+    """A row, or the tombstone of a deleted row."""
 
     table: str
     part: str
@@ -28,8 +28,8 @@
     version: int
     deleted: bool = False
 
-    def shown(self) -> dict:
-        """Returns the row as an answer shows it."""
+    def to_json(self) -> dict:
+        """Returns the row in its JSON form."""
         row = {
             "table": self.table,
             "part": self.part,
@@ -47,14 +47,19 @@
 
 
 class PlatformStore:
-    """Rows in tables, transactions under conditions, and a feed of changes."""
+    """Rows in tables, with conditional transactions and a change feed.
+
+    Attributes:
+        faults: Active faults.
+        calls: Number of calls so far.
+    """
 
     def __init__(self) -> None:
         self.faults = Faults()
         self.calls = 0
         self._rows: dict[tuple[str, str, str], StoredRow] = {}
         self._history: list[StoredRow] = []
-        self._forgotten = 0
+        self._discarded_version = 0
         self._version = 0
         self._changed = asyncio.Event()
 
@@ -68,45 +73,45 @@
         return FaultInjector(Starlette(routes=routes), self.faults)
 
     def put(self, table: str, key: str, value: dict) -> None:
-        """Writes a row, as the operator or a server does."""
+        """Writes a row unconditionally, as the operator or a server does."""
         data = base64.b64encode(json.dumps(value).encode()).decode()
         self._version += 1
         self._store(StoredRow(table, "", key, data, self._version))
 
     def drop(self, table: str, key: str) -> None:
-        """Drops a row, as when a server leaves."""
+        """Deletes a row, as when a server has shut down."""
         if (table, "", key) in self._rows:
             self._version += 1
             self._store(StoredRow(table, "", key, "", self._version, True))
 
     def forget(self) -> None:
-        """Discards the history of changes."""
+        """Discards the change history, so that older feed positions get 410."""
         self._history.clear()
-        self._forgotten = self._version
+        self._discarded_version = self._version
 
     def keys(self, table: str) -> list[str]:
         """Returns the keys of a table's rows."""
         return sorted(key for name, _, key in self._rows if name == table)
 
     async def transact(self, request: Request) -> JSONResponse:
-        """Applies a transaction if its conditions hold."""
+        """Applies a transaction if all of its conditions hold."""
         self.calls += 1
         body = await request.json()
         for item in body["expect"]:
-            row = self._rows.get(_place(item))
+            row = self._rows.get(_row_id(item))
             if (row.version if row else 0) != item["schemaVersion"]:
-                rows = [row.shown()] if row else []
+                rows = [row.to_json()] if row else []
                 return JSONResponse({"rows": rows}, 412)
         self._version += 1
         for item in body["write"]:
-            self._store(StoredRow(*_place(item), item["data"], self._version))
+            self._store(StoredRow(*_row_id(item), item["data"], self._version))
         for item in body["remove"]:
-            if _place(item) in self._rows:
-                self._store(StoredRow(*_place(item), "", self._version, True))
-        return self._answer({})
+            if _row_id(item) in self._rows:
+                self._store(StoredRow(*_row_id(item), "", self._version, True))
+        return self._response({})
 
     async def read(self, request: Request) -> JSONResponse:
-        """Returns rows of a table as of one moment."""
+        """Returns a page of a table's rows, as a consistent snapshot."""
         self.calls += 1
         query = request.query_params
         rows = sorted(
@@ -120,49 +125,49 @@
             key=lambda row: row.key.encode(),
         )
         limit = min(int(query.get("limit", PAGE)), PAGE)
-        page = [row.shown() for row in rows[:limit]]
-        return self._answer({"rows": page, "hasMore": len(rows) > limit})
+        page = [row.to_json() for row in rows[:limit]]
+        return self._response({"rows": page, "hasMore": len(rows) > limit})
 
     async def feed(self, request: Request) -> JSONResponse:
-        """Waits for rows that changed after a version."""
+        """Returns rows changed after a version; waits if there are none."""
         self.calls += 1
         query = parse_qs(request.url.query)
         table = query["table"][0]
         after = int(query["after"][0])
-        until = time.monotonic() + int(query["waitMs"][0]) / 1000
+        deadline = time.monotonic() + int(query["waitMs"][0]) / 1000
         while True:
-            if after < self._forgotten:
+            if after < self._discarded_version:
                 return JSONResponse({}, 410)
             rows = [
-                row.shown()
+                row.to_json()
                 for row in self._history
                 if row.table == table and row.version > after
             ]
-            left = until - time.monotonic()
-            if rows or left <= 0:
-                return self._answer({"rows": rows})
+            remaining_s = deadline - time.monotonic()
+            if rows or remaining_s <= 0:
+                return self._response({"rows": rows})
             changed = self._changed
             try:
-                await asyncio.wait_for(changed.wait(), left)
+                await asyncio.wait_for(changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
     def _store(self, row: StoredRow) -> None:
-        place = (row.table, row.part, row.key)
+        row_id = (row.table, row.part, row.key)
         if row.deleted:
-            self._rows.pop(place, None)
+            self._rows.pop(row_id, None)
         else:
-            self._rows[place] = row
+            self._rows[row_id] = row
         self._history.append(row)
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _answer(self, body: dict) -> JSONResponse:
+    def _response(self, body: dict) -> JSONResponse:
         now_ms = int(time.monotonic() * 1000)
         return JSONResponse(
             {**body, "schemaVersion": self._version, "nowMs": now_ms}
         )
 
 
-def _place(item: dict) -> tuple[str, str, str]:
+def _row_id(item: dict) -> tuple[str, str, str]:
     return (item["table"], item.get("part", ""), item["key"])
