--- a/tests/platformsoak.py
+++ b/tests/platformsoak.py
@@ -1,13 +1,13 @@
-"""A randomised run on the platform's interface, with faults from outside.
+"""Randomised fault-injection run of instances on the platform's interface.
 
 Usage: python -m tests.platformsoak [--seconds S] [--seed N] [--runs N]
 
-Instances are processes of their own, as deployed; the store and the servers
-are stand-ins behind links that can be delayed, silenced, cut one way and
-reset. Processes are killed, frozen, stopped and started in series and at the
-same time. The seed fixes which faults come and what callers send; timing is
-not fixed, so what is checked holds at any timing: what callers were told is
-compared with what the servers ran.
+Each instance is a process, as deployed. The store and the servers are
+stand-ins behind links that can delay, drop or reset connections, also in one
+direction only. Instances are killed, suspended, stopped and restarted, one
+after another and concurrently. The seed determines the faults and the requests,
+but not the timing, so the checks hold at any timing: they compare the answers
+that callers got with the requests that the servers ran.
 """
 
 import argparse
@@ -39,31 +39,31 @@
 GRACE_S = 4.0
 READY_S = 30.0
 OUTCOME_S = 12.0
-"""Longest time limit of the site's routes, and as much again."""
+"""Time that a caller waits: the longest route timeout plus a margin."""
 
-AT_ONCE = 3
+MAX_CONCURRENT_FAULTS = 3
 HEAL_S = 6.0
 GOOD_SHARE = 0.9
-"""Part of the requests that must be served once all faults are healed."""
+"""Share of the requests that must be served once all faults are healed."""
 
 FATAL = b"ends each engine that runs it"
-FATAL_TRIES = 7
+FATAL_ATTEMPTS = 7
 FATAL_PAUSE_S = 0.6
-MOST_ENDED = 3
-"""Engines that one request may end, sent again and again at all instances."""
+MAX_CRASHED = 3
+"""Maximum number of engines that one request, sent repeatedly, may crash."""
 
 LIMIT = 3.0
-LIMIT_KNOWN_S = 2.0
+LIMIT_PROPAGATION_S = 2.0
 LIMIT_SPAN_S = 4.0
-MOST_IN_SPAN = 1.5 * LIMIT * LIMIT_SPAN_S + 5
-"""Requests that an engine may get from all instances in the span, once it has
-named its limit."""
+MAX_REQUESTS_IN_SPAN = 1.5 * LIMIT * LIMIT_SPAN_S + 5
+"""Maximum number of requests in `LIMIT_SPAN_S` from all instances to an engine
+that has published its rate limit."""
 
-EXIT_IN_ORDER = 0
+EXIT_SUCCESS = 0
 REFUSALS = (408, 421, 429, 503)
-"""Statuses that promise that the request has not run and never will."""
+"""Statuses that guarantee that the request has not run and will not run."""
 
-_NO_ANSWER = (
+_CONNECTION_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -71,17 +71,17 @@
 
 
 @dataclasses.dataclass
-class Told:
-    """What a caller sent and what it was told.
+class SentRequest:
+    """A request of a caller and its answer.
 
     Attributes:
         attempt: Id of the attempt.
         path: Path.
-        body: Body that only this request has.
-        status: Status of the answer; 0 without one.
-        signature: The server's mark on the answer.
-        content: Bytes of the answer.
-        whole: Whether the answer came to its proper end.
+        body: Body, unique to the request.
+        status: Status of the answer; 0 without an answer.
+        signature: Server-Signature header field of the answer.
+        content: Body of the answer, as far as it was received.
+        whole: Whether the answer is complete.
     """
 
     attempt: str
@@ -94,12 +94,20 @@
 
     @property
     def once(self) -> bool:
-        """Whether it may run once only."""
+        """Whether it may run at most once."""
         return self.path.startswith(("/confirm/", "/sheet/"))
 
 
 class InstanceProcess:
-    """One instance, over all its starts."""
+    """An instance, restarted as a new process after each end.
+
+    Attributes:
+        path: Path of its settings file.
+        log: Path of its log, which all of its processes share.
+        listen: IP:port by purpose.
+        popen: Handle of the current process.
+        busy: Whether a fault is active on it.
+    """
 
     def __init__(self, path: pathlib.Path):
         self.path = path
@@ -109,7 +117,7 @@
         self.busy = False
 
     def start(self) -> None:
-        """Starts it; its log goes on in the same file."""
+        """Starts a process that appends to the log file."""
         environ = {**os.environ, "JASMINERELAY_BOOT": str(self.path)}
         with self.log.open("ab") as out:
             self.popen = subprocess.Popen(
@@ -120,11 +128,11 @@
             )
 
     def signal(self, number: int) -> None:
-        """Sends it a signal."""
+        """Sends a signal to the process."""
         self.popen.send_signal(number)
 
     async def ended(self, timeout_s: float) -> int | None:
-        """Waits for its end; returns its status, or None."""
+        """Waits for the end; returns the exit status, None if still running."""
         with anyio.move_on_after(timeout_s):
             while self.popen.poll() is None:
                 await anyio.sleep(0.02)
@@ -132,19 +140,26 @@
 
 
 class PlatformSoak:
-    """One run."""
+    """One run.
+
+    Attributes:
+        violations: Violations found.
+        counts: Numbers of faults, answers and other events, by name.
+        site: Site with the store and the servers.
+        instances: Instances under test.
+    """
 
     def __init__(self, seed: int, seconds: float):
         self._rng = random.Random(seed)
         self._seconds = seconds
         self.violations: list[str] = []
         self.counts: collections.Counter[str] = collections.Counter()
-        self._told: list[Told] = []
-        self._stopping = False
+        self._requests: list[SentRequest] = []
+        self._stopped = False
         self._number = 0
 
     async def run(self) -> None:
-        """Runs load and faults, heals everything, checks the journals."""
+        """Runs load and faults, ends the faults, checks logs and journals."""
         logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL + 1)
         options = Options(
             engines=3,
@@ -164,53 +179,58 @@
                 try:
                     for instance in self.instances:
                         instance.start()
-                    await self._play()
+                    await self._run_phases()
                 finally:
-                    self._end_all()
+                    self._kill_all()
                 self._check_logs()
         self._check_answers()
         self._check_runs()
         self._check_duties()
 
-    async def _play(self) -> None:
+    async def _run_phases(self) -> None:
         for instance in self.instances:
-            await self._until_ready(instance)
+            await self._wait_until_ready(instance)
         async with anyio.create_task_group() as callers:
             for _ in range(CALLERS):
                 callers.start_soon(self._caller, self._rng.getrandbits(32))
-            await self._faults()
+            await self._inject_faults()
             await anyio.sleep(HEAL_S)
             for instance in self.instances:
-                await self._until_ready(instance)
-            before = len(self._told)
+                await self._wait_until_ready(instance)
+            before = len(self._requests)
             await anyio.sleep(HEAL_S / 2)
-            healed = self._told[before:]
-            await self._named_limit()
-            await self._fatal_request()
-            self._stopping = True
+            healed = self._requests[before:]
+            await self._check_rate_limit()
+            await self._check_fatal_request()
+            self._stopped = True
             callers.cancel_scope.deadline = anyio.current_time() + OUTCOME_S
         self._check_recovered(healed)
 
-    async def _faults(self) -> None:
-        until = time.monotonic() + self._seconds
-        limiter = anyio.CapacityLimiter(AT_ONCE)
+    async def _inject_faults(self) -> None:
+        deadline = time.monotonic() + self._seconds
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_FAULTS)
 
-        async def strike(fault: Callable[..., Awaitable[None]]) -> None:
+        async def apply_fault(fault: Callable[..., Awaitable[None]]) -> None:
             async with limiter:
                 await fault(self, random.Random(self._rng.getrandbits(32)))
 
         async with anyio.create_task_group() as group:
-            while time.monotonic() < until:
+            while time.monotonic() < deadline:
                 fault = self._rng.choice(_FAULTS)
                 self.counts[f"fault {fault.__name__.strip('_')}"] += 1
-                group.start_soon(strike, fault)
+                group.start_soon(apply_fault, fault)
                 await anyio.sleep(self._rng.uniform(0.2, 1.5))
 
     # Faults of instances.
 
     @contextlib.contextmanager
-    def _taken(self, rng: random.Random) -> Iterator[InstanceProcess | None]:
-        """Gives an instance that no other fault has; None keeps the last."""
+    def _reserve_instance(
+        self, rng: random.Random
+    ) -> Iterator[InstanceProcess | None]:
+        """Yields an instance without an active fault.
+
+        Yields None if it is the only such instance, so that one always works.
+        """
         free = [item for item in self.instances if not item.busy]
         if len(free) < 2:
             yield None
@@ -223,17 +243,17 @@
             instance.busy = False
 
     async def _kill(self, rng: random.Random) -> None:
-        with self._taken(rng) as instance:
+        with self._reserve_instance(rng) as instance:
             if instance is None:
                 return
             instance.signal(signal.SIGKILL)
             await instance.ended(READY_S)
             await anyio.sleep(rng.uniform(0.0, 2.0))
             instance.start()
-            await self._until_ready(instance)
+            await self._wait_until_ready(instance)
 
     async def _freeze(self, rng: random.Random) -> None:
-        with self._taken(rng) as instance:
+        with self._reserve_instance(rng) as instance:
             if instance is None:
                 return
             instance.signal(signal.SIGSTOP)
@@ -241,7 +261,7 @@
             instance.signal(signal.SIGCONT)
 
     async def _stop(self, rng: random.Random) -> None:
-        with self._taken(rng) as instance:
+        with self._reserve_instance(rng) as instance:
             if instance is None:
                 return
             instance.signal(signal.SIGTERM)
@@ -249,15 +269,17 @@
                 await anyio.sleep(0.2)
                 instance.signal(signal.SIGTERM)
             status = await instance.ended(GRACE_S + 2.0)
-            if status != EXIT_IN_ORDER:
-                self._violate(f"a planned stop ended with {status}")
+            if status != EXIT_SUCCESS:
+                self._record_violation(
+                    f"a graceful shutdown ended with status {status}"
+                )
                 instance.signal(signal.SIGKILL)
                 await instance.ended(READY_S)
             instance.start()
-            await self._until_ready(instance)
+            await self._wait_until_ready(instance)
 
     async def _reload(self, rng: random.Random) -> None:
-        with self._taken(rng) as instance:
+        with self._reserve_instance(rng) as instance:
             if instance is None:
                 return
             text = instance.path.read_text()
@@ -295,8 +317,8 @@
         setattr(link.faults, kind, 0.1 if kind == "delay_s" else True)
         await anyio.sleep(rng.uniform(0.3, 3.0))
         setattr(link.faults, kind, 0.0 if kind == "delay_s" else False)
-        # A cut that heals leaves connections with bytes missing; a network
-        # would not give them back either.
+        # Bytes dropped in the meantime are missing from the open connections,
+        # which are therefore reset.
         if kind != "delay_s":
             link.reset()
 
@@ -310,7 +332,7 @@
         setattr(server.faults, kind, 0)
 
     async def _server_gone(self, rng: random.Random) -> None:
-        name = self._spare_server(rng)
+        name = self._choose_server(rng)
         if name is None:
             return
         service = MODEL if name.startswith("engine") else PLAIN
@@ -322,7 +344,7 @@
         self.site.store.drop("servers", name)
         await self._add_server(name, service)
 
-    def _spare_server(self, rng: random.Random) -> str | None:
+    def _choose_server(self, rng: random.Random) -> str | None:
         names = [
             name
             for name in self.site.store.keys("servers")
@@ -342,10 +364,10 @@
         del rng
         self.site.configure()
 
-    # What must hold among instances that all have just been through faults.
+    # Checks across instances after all of them had faults.
 
-    async def _named_limit(self) -> None:
-        """Has an engine name a limit, and counts what it gets."""
+    async def _check_rate_limit(self) -> None:
+        """Sets an engine's rate limit and checks the rate of its requests."""
         names = [
             name
             for name in self.site.store.keys("servers")
@@ -353,32 +375,37 @@
         ]
         server = self.site.servers[self._rng.choice(names)]
         server.faults.limit = b"%.1f" % LIMIT
-        await anyio.sleep(LIMIT_KNOWN_S)
+        await anyio.sleep(LIMIT_PROPAGATION_S)
         since = time.monotonic()
         await anyio.sleep(LIMIT_SPAN_S)
         server.faults.limit = b""
-        got = sum(at >= since for at in server.arrivals)
-        self.counts["at a limit"] = got
-        if got > MOST_IN_SPAN:
-            self._violate(f"{server.name} got {got} requests beside its limit")
+        received = sum(at >= since for at in server.arrivals)
+        self.counts["at a limit"] = received
+        if received > MAX_REQUESTS_IN_SPAN:
+            self._record_violation(
+                f"{server.name}: {received} requests are above its limit"
+            )
 
-    async def _fatal_request(self) -> None:
-        """Sends a request again and again that ends each engine."""
+    async def _check_fatal_request(self) -> None:
+        """Sends a request that crashes engines; checks how many it crashes."""
         pool = httpcore.AsyncConnectionPool()
         ended = len(self.site.ended)
-        for _ in range(FATAL_TRIES):
+        for _ in range(FATAL_ATTEMPTS):
             attempt = f"{self._rng.getrandbits(64):016x}"
-            told = Told(attempt, "/sheet/0/stream", FATAL)
-            self._told.append(told)
+            request = SentRequest(attempt, "/sheet/0/stream", FATAL)
+            self._requests.append(request)
             instance = self._rng.choice(self.instances)
-            with contextlib.suppress(*_NO_ANSWER), anyio.move_on_after(5.0):
-                await self._ask(pool, instance.listen["front"], told)
+            with (
+                contextlib.suppress(*_CONNECTION_ERRORS),
+                anyio.move_on_after(5.0),
+            ):
+                await self._send(pool, instance.listen["front"], request)
             await anyio.sleep(FATAL_PAUSE_S)
         await pool.aclose()
         ended = len(self.site.ended) - ended
         self.counts["ended by one request"] = ended
-        if ended > MOST_ENDED:
-            self._violate(f"{ended} engines ended by one request")
+        if ended > MAX_CRASHED:
+            self._record_violation(f"one request crashed {ended} engines")
 
     # Callers.
 
@@ -386,40 +413,40 @@
         rng = random.Random(seed)
         pool = httpcore.AsyncConnectionPool(keepalive_expiry=5.0)
         addresses: list[str] = []
-        asked = float("-inf")
-        while not self._stopping:
-            if not addresses or time.monotonic() - asked > 2.0:
-                asked = time.monotonic()
-                addresses = await self._entries(rng) or addresses
+        resolved_at = float("-inf")
+        while not self._stopped:
+            if not addresses or time.monotonic() - resolved_at > 2.0:
+                resolved_at = time.monotonic()
+                addresses = await self._resolve(rng) or addresses
             if not addresses:
                 await anyio.sleep(0.1)
                 continue
-            told = self._request(rng)
-            self._told.append(told)
+            request = self._new_request(rng)
+            self._requests.append(request)
             try:
                 with anyio.move_on_after(OUTCOME_S):
-                    await self._ask(pool, rng.choice(addresses), told)
-            except _NO_ANSWER:
+                    await self._send(pool, rng.choice(addresses), request)
+            except _CONNECTION_ERRORS:
                 self.counts["no answer"] += 1
                 addresses = []
             except BaseException:
                 await pool.aclose()
                 raise
-            self.counts[f"answer {told.status}"] += 1
+            self.counts[f"answer {request.status}"] += 1
             await anyio.sleep(rng.uniform(0.0, 0.1))
         await pool.aclose()
 
-    async def _entries(self, rng: random.Random) -> list[str]:
+    async def _resolve(self, rng: random.Random) -> list[str]:
         instance = rng.choice(self.instances)
         url = f"http://{instance.listen['registry']}/-/resolve?name={HOST}"
-        with anyio.move_on_after(1.0), contextlib.suppress(*_NO_ANSWER):
+        with anyio.move_on_after(1.0), contextlib.suppress(*_CONNECTION_ERRORS):
             async with httpcore.AsyncConnectionPool() as pool:
                 reply = await pool.request("GET", url)
             if reply.status == 200:
                 return json.loads(reply.content)["addresses"]
         return []
 
-    def _request(self, rng: random.Random) -> Told:
+    def _new_request(self, rng: random.Random) -> SentRequest:
         path = rng.choice(
             (
                 "/confirm/slot",
@@ -429,114 +456,145 @@
             )
         )
         attempt = f"{rng.getrandbits(64):016x}"
-        return Told(attempt, path, f"body of {attempt}".encode())
+        return SentRequest(attempt, path, f"body of {attempt}".encode())
 
-    async def _ask(self, pool, address: str, told: Told) -> None:
+    async def _send(self, pool, address: str, request: SentRequest) -> None:
         fields = {
             "Host": HOST,
-            "Attempt-Id": told.attempt,
+            "Attempt-Id": request.attempt,
             "Authorization": f"Bearer {KEY}",
-            "Content-Length": str(len(told.body)),
+            "Content-Length": str(len(request.body)),
             "Token-Usage": "900,30",
             "Prefix-Hash": "aa:500,bb:400",
             "Deadline-Ms": "3000",
         }
         async with pool.stream(
             "POST",
-            f"http://{address}{told.path}",
+            f"http://{address}{request.path}",
             headers=list(fields.items()),
-            content=told.body,
+            content=request.body,
         ) as reply:
             headers = {k.lower(): v for k, v in reply.headers}
-            told.status = reply.status
-            told.signature = headers.get(b"server-signature", b"").decode()
+            request.status = reply.status
+            request.signature = headers.get(b"server-signature", b"").decode()
             async for part in reply.aiter_stream():
-                told.content += part
-            told.whole = True
+                request.content += part
+            request.whole = True
 
     # Checks.
 
-    def _violate(self, text: str) -> None:
+    def _record_violation(self, text: str) -> None:
         self.violations.append(text)
 
-    async def _until_ready(self, instance: InstanceProcess) -> None:
+    async def _wait_until_ready(self, instance: InstanceProcess) -> None:
         url = f"http://{instance.listen['readiness']}/-/readyz"
         with anyio.move_on_after(READY_S):
             while True:
-                with anyio.move_on_after(1.0), contextlib.suppress(*_NO_ANSWER):
+                with (
+                    anyio.move_on_after(1.0),
+                    contextlib.suppress(*_CONNECTION_ERRORS),
+                ):
                     async with httpcore.AsyncConnectionPool() as pool:
                         if (await pool.request("GET", url)).status == 200:
                             return
                 if instance.popen.poll() is not None:
-                    self._violate(f"{instance.path.stem} ended by itself")
+                    self._record_violation(
+                        f"{instance.path.stem} exited unexpectedly"
+                    )
                     instance.start()
                 await anyio.sleep(0.05)
-        self._violate(f"{instance.path.stem} is not ready in {READY_S} s")
+        self._record_violation(
+            f"{instance.path.stem} is not ready within {READY_S} s"
+        )
 
-    def _check_recovered(self, told: list[Told]) -> None:
-        good = sum(item.status == 200 and item.whole for item in told)
-        self.counts["after healing"] = len(told)
-        if not told or good < GOOD_SHARE * len(told):
-            self._violate(f"served after healing: {good} of {len(told)}")
+    def _check_recovered(self, request: list[SentRequest]) -> None:
+        good = sum(item.status == 200 and item.whole for item in request)
+        self.counts["after healing"] = len(request)
+        if not request or good < GOOD_SHARE * len(request):
+            self._record_violation(
+                f"served after healing: {good} of {len(request)}"
+            )
 
     def _check_logs(self) -> None:
         for instance in self.instances:
             for line in instance.log.read_text().splitlines():
                 if '"event":"fault"' in line or line.startswith("Traceback"):
-                    self._violate(f"{instance.path.stem}: {line[:2000]}")
+                    self._record_violation(
+                        f"{instance.path.stem}: {line[:2000]}"
+                    )
 
     def _check_answers(self) -> None:
-        for told in self._told:
-            if told.status != 200:
+        for request in self._requests:
+            if request.status != 200:
                 continue
-            if not told.signature.endswith(f".{told.attempt}"):
-                self._violate(f"{told.attempt}: signed {told.signature!r}")
-            if told.path.endswith("/stream"):
-                self._check_stream(told)
-            elif told.whole and told.content != _plain(told.attempt):
-                self._violate(f"{told.attempt}: got {told.content!r}")
-
-    def _check_stream(self, told: Told) -> None:
-        wanted = _events(30)
-        if told.whole and told.content != wanted:
-            self._violate(f"{told.attempt}: whole, but {len(told.content)} B")
-        if not wanted.startswith(told.content):
-            self._violate(f"{told.attempt}: {told.content[-200:]!r}")
+            if not request.signature.endswith(f".{request.attempt}"):
+                self._record_violation(
+                    f"{request.attempt}: wrong signature {request.signature!r}"
+                )
+            if request.path.endswith("/stream"):
+                self._check_stream(request)
+            elif request.whole and request.content != _plain_answer(
+                request.attempt
+            ):
+                self._record_violation(
+                    f"{request.attempt}: got {request.content!r}"
+                )
+
+    def _check_stream(self, request: SentRequest) -> None:
+        complete_stream = _event_stream(30)
+        if request.whole and request.content != complete_stream:
+            self._record_violation(
+                f"{request.attempt}: wrong stream, {len(request.content)} B"
+            )
+        if not complete_stream.startswith(request.content):
+            self._record_violation(
+                f"{request.attempt}: {request.content[-200:]!r}"
+            )
 
     def _check_duties(self) -> None:
         judge = self.site.duties.judge
         for broken in judge.broken:
-            self._violate(f"duties: {broken}")
+            self._record_violation(f"duties: {broken}")
         self.counts["windows reported"] = len(judge.reports)
 
     def _check_runs(self) -> None:
-        sent = {told.attempt: told for told in self._told}
+        sent = {request.attempt: request for request in self._requests}
         runs: collections.Counter[str] = collections.Counter()
         for server in self.site.servers.values():
             for ran in server.journal:
-                told = sent.get(ran.attempt)
-                if told is None:
-                    self._violate(f"{server.name} ran unasked {ran.attempt}")
-                elif ran.body != told.body:
-                    self._violate(
+                request = sent.get(ran.attempt)
+                if request is None:
+                    self._record_violation(
+                        f"{server.name} ran {ran.attempt}, which was not sent"
+                    )
+                elif ran.body != request.body:
+                    self._record_violation(
                         f"{server.name} ran {ran.attempt} with another body,"
-                        f" {len(ran.body)} of {len(told.body)} B:"
+                        f" {len(ran.body)} of {len(request.body)} B:"
                         f" {ran.body[:80]!r}"
                     )
-                elif ran.target != told.path:
-                    self._violate(f"{ran.attempt}: ran as {ran.target}")
+                elif ran.target != request.path:
+                    self._record_violation(
+                        f"{ran.attempt}: ran as {ran.target}"
+                    )
                 elif ran.headers.get("tenant") != "elm":
-                    self._violate(f"{ran.attempt}: organisation is wrong")
-                # A run that was moved goes on elsewhere as the same run.
+                    self._record_violation(
+                        f"{ran.attempt}: ran with a wrong organisation"
+                    )
+                # A moved run is continued on another server, which counts it.
                 runs[ran.attempt] += not ran.moved
-        for told in self._told:
-            if told.once and runs[told.attempt] > 1:
-                self._violate(f"{told.attempt}: ran {runs[told.attempt]} times")
-            refused = told.status in REFUSALS and not told.signature
-            if told.once and refused and runs[told.attempt]:
-                self._violate(f"{told.attempt}: ran, told {told.status}")
-
-    def _end_all(self) -> None:
+        for request in self._requests:
+            if request.once and runs[request.attempt] > 1:
+                self._record_violation(
+                    f"{request.attempt}: ran {runs[request.attempt]} times"
+                )
+            refused = request.status in REFUSALS and not request.signature
+            if request.once and refused and runs[request.attempt]:
+                self._record_violation(
+                    f"{request.attempt}: ran, but answered {request.status}"
+                )
+
+    def _kill_all(self) -> None:
         for instance in self.instances:
             if instance.popen is not None and instance.popen.poll() is None:
                 instance.signal(signal.SIGCONT)
@@ -559,11 +617,11 @@
 )
 
 
-def _plain(attempt: str) -> bytes:
+def _plain_answer(attempt: str) -> bytes:
     return b"answer to " + attempt.encode()
 
 
-def _events(last: int) -> bytes:
+def _event_stream(last: int) -> bytes:
     return b"".join(
         b"id: %d\ndata: t%d\n\n" % (number, number)
         for number in range(1, last + 1)
@@ -571,22 +629,24 @@
 
 
 def main() -> int:
-    """Runs seeds one after another; returns the exit status."""
+    """Runs the seeds one after another; returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=1)
     options = parser.parse_args()
-    red = 0
+    failing = 0
     for seed in range(options.seed, options.seed + options.runs):
         soak = PlatformSoak(seed, options.seconds)
         anyio.run(soak.run)
         print(f"seed {seed}:", dict(sorted(soak.counts.items())))
         for violation in soak.violations:
             print(f"seed {seed}: VIOLATION {violation}")
-        red += bool(soak.violations)
-    print(f"{options.runs - red} of {options.runs} runs without a violation")
-    return 1 if red else 0
+        failing += bool(soak.violations)
+    print(
+        f"{options.runs - failing} of {options.runs} runs without a violation"
+    )
+    return 1 if failing else 0
 
 
 if __name__ == "__main__":
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Runs every test and ends with a line "N passed, N failed".
+"""Runs the tests and prints "N passed, N failed" as the last line.
 
-KNOWN-RED.txt lists tests that fail for a known fault, a line each: test id,
-cause, issue. They are run and printed, and only they do not fail the run.
+KNOWN-RED.txt lists tests that fail due to a known fault, one per line: test id,
+cause, issue. They are run, and their failures are printed but not counted.
 """
 
 import pathlib
@@ -10,11 +10,11 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MAX_KNOWN_RED = 3
+MAX_KNOWN_FAILURES = 3
 
 
 class _Result(unittest.TextTestResult):
-    """Counts the tests that passed."""
+    """Records the tests that passed."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -25,8 +25,8 @@
         self.passed.append(test.id())
 
 
-def known_red() -> dict[str, str]:
-    """Returns the listed tests with their lines."""
+def read_known_failures() -> dict[str, str]:
+    """Returns the lines of KNOWN-RED.txt by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -48,16 +48,16 @@
         resultclass=_Result, verbosity=2, stream=sys.stdout
     )
     result = runner.run(suite)
-    red = known_red()
-    broken = {test.id() for test, _ in result.failures + result.errors}
-    broken |= {test.id() for test in result.unexpectedSuccesses}
-    expected = broken & set(red)
+    known_failures = read_known_failures()
+    failed_ids = {test.id() for test, _ in result.failures + result.errors}
+    failed_ids |= {test.id() for test in result.unexpectedSuccesses}
+    expected = failed_ids & set(known_failures)
     for name in sorted(expected):
-        print(f"known red: {red[name]}")
-    if len(red) > MAX_KNOWN_RED:
-        print(f"KNOWN-RED.txt lists more than {MAX_KNOWN_RED} tests")
-        broken.add("KNOWN-RED.txt")
-    failed = len(broken - expected)
+        print(f"known red: {known_failures[name]}")
+    if len(known_failures) > MAX_KNOWN_FAILURES:
+        print(f"KNOWN-RED.txt lists more than {MAX_KNOWN_FAILURES} tests")
+        failed_ids.add("KNOWN-RED.txt")
+    failed = len(failed_ids - expected)
     skipped = f", {len(result.skipped)} skipped" if result.skipped else ""
     print(f"{len(result.passed)} passed, {failed} failed{skipped}")
     return 1 if failed or not result.passed else 0
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,9 +1,10 @@
-"""A long randomised run: all faults mixed under load, journals checked.
+"""Long randomised fault-injection run under load.
 
 Usage: python -m tests.soak [--seconds S] [--seed N]
 
-The seed fixes which faults come in which order and what callers send; the
-processes' timing is not fixed, so what is asserted holds at any timing.
+The seed determines the faults, their order and the requests, but not the timing
+of the processes, so the checks hold at any timing: they compare the answers
+that callers got with the journals of the engines and services.
 """
 
 import argparse
@@ -27,7 +28,7 @@
 ENGINES = 3
 SERVICES = 2
 CALLERS = 12
-_NO_ANSWER = (
+_CONNECTION_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -52,12 +53,12 @@
 
 
 @dataclasses.dataclass
-class Told:
-    """What callers were told of one call that may not be repeated.
+class ServiceCall:
+    """A call that must run at most once, and its answers.
 
     Attributes:
         key: Idempotency key; "" for a call without one.
-        body: Body that only this call has.
+        body: Body, unique to the call.
         answers: Status and "ran" of each answer; 0 for a broken connection.
     """
 
@@ -67,23 +68,29 @@
 
 
 class Soak:
-    """One run."""
+    """One run.
+
+    Attributes:
+        violations: Violations found.
+        counts: Numbers of faults, answers and other events, by name.
+        system: System under test.
+    """
 
     def __init__(self, seed: int, seconds: float):
         self._rng = random.Random(seed)
         self._seconds = seconds
-        self._stop = threading.Event()
+        self._stopped = threading.Event()
         self._lock = threading.Lock()
         self.violations: list[str] = []
         self.counts: collections.Counter[str] = collections.Counter()
-        self._told: list[Told] = []
+        self._service_calls: list[ServiceCall] = []
         self._not_run_prompts: list[str] = []
-        self._versions: dict[str, int] = {}
+        self._manifest_versions: dict[str, int] = {}
         self._daemon_count = DAEMONS
         self._busy: set[str] = set()
 
     def run(self) -> None:
-        """Runs load and faults, heals everything, checks the journals."""
+        """Runs load and faults, ends the faults, checks logs and journals."""
         with System(OPTIONS) as self.system:
             threads = [
                 threading.Thread(
@@ -95,30 +102,30 @@
             for thread in threads:
                 thread.start()
             try:
-                self._faults()
+                self._inject_faults()
                 self._heal()
             finally:
-                self._stop.set()
+                self._stopped.set()
                 for thread in threads:
                     thread.join()
             self._check_alive()
             self._check_calls()
             self._check_prompts()
 
-    def _faults(self) -> None:
-        until = time.monotonic() + self._seconds
-        while time.monotonic() < until:
+    def _inject_faults(self) -> None:
+        deadline = time.monotonic() + self._seconds
+        while time.monotonic() < deadline:
             fault = self._rng.choice(_FAULTS)
             self.counts[f"fault {fault.__name__.strip('_')}"] += 1
             fault(self)
-            self._stop.wait(self._rng.uniform(0.1, 1.0))
+            self._stopped.wait(self._rng.uniform(0.1, 1.0))
 
     def _kill_daemon(self) -> None:
         daemon = self._rng.choice(self.system.daemons)
         if len(self.system.daemons) > 2:
             self.system.daemons.remove(daemon)
             daemon.kill()
-            self._new_daemon()
+            self._add_daemon()
 
     def _stop_daemon(self) -> None:
         if len(self.system.daemons) <= 2:
@@ -130,18 +137,18 @@
         def wait() -> None:
             status = daemon.wait(90.0)
             if status != 0:
-                self._violated(
+                self._record_violation(
                     f"{daemon.name} stopped with {status}:"
                     f" {daemon.log.read_text()[-2000:]}"
                 )
 
         thread = threading.Thread(target=wait)
         thread.start()
-        self._new_daemon()
+        self._add_daemon()
         self._stoppers = [*getattr(self, "_stoppers", []), thread]
 
-    def _new_daemon(self) -> None:
-        # The platform tells the list of a new instance once the list is up.
+    def _add_daemon(self) -> None:
+        # start_daemon() writes to the instance list, which must be reachable.
         self._heal_stores()
         self._daemon_count += 1
         self.system.start_daemon(self._daemon_count)
@@ -149,19 +156,19 @@
     def _freeze_daemon(self) -> None:
         daemon = self._rng.choice(self.system.daemons)
         daemon.freeze()
-        self._stop.wait(self._rng.uniform(0.2, 3.0))
+        self._stopped.wait(self._rng.uniform(0.2, 3.0))
         daemon.thaw()
 
     def _kill_engine(self) -> None:
         name = self._rng.choice(self._engines())
         self.system.processes[name].kill()
-        self._stop.wait(self._rng.uniform(0.0, 1.0))
+        self._stopped.wait(self._rng.uniform(0.0, 1.0))
         self.system.restart(name)
 
     def _freeze_engine(self) -> None:
         process = self.system.processes[self._rng.choice(self._engines())]
         process.freeze()
-        self._stop.wait(self._rng.uniform(0.2, 2.5))
+        self._stopped.wait(self._rng.uniform(0.2, 2.5))
         process.thaw()
 
     def _engine_faults(self) -> None:
@@ -178,8 +185,8 @@
                 {"stall": True},
             )
         )
-        self._fault(name, **fields)
-        self._stop.wait(self._rng.uniform(0.2, 2.0))
+        self._set_fault(name, **fields)
+        self._stopped.wait(self._rng.uniform(0.2, 2.0))
         self._heal_engine(name)
 
     def _service_faults(self) -> None:
@@ -192,8 +199,8 @@
                 {"leaving": True},
             )
         )
-        self._fault(name, **fields)
-        self._stop.wait(self._rng.uniform(0.1, 1.0))
+        self._set_fault(name, **fields)
+        self._stopped.wait(self._rng.uniform(0.1, 1.0))
         self._heal_service(name)
 
     def _store_faults(self) -> None:
@@ -202,8 +209,8 @@
             ({"down": True}, {"hang": True}, {"slow_s": 0.4}, {"lose_acks": 5})
         )
         for name in names:
-            self._fault(name, **fields)
-        self._stop.wait(self._rng.uniform(0.2, 3.0))
+            self._set_fault(name, **fields)
+        self._stopped.wait(self._rng.uniform(0.2, 3.0))
         self._heal_stores()
 
     def _race_operators(self) -> None:
@@ -255,11 +262,11 @@
         for thread in getattr(self, "_stoppers", []):
             thread.join()
         for daemon in self.system.daemons:
-            wait_for(lambda d=daemon: has_ended(d) or self._serves(d))
+            wait_for(lambda d=daemon: has_ended(d) or self._is_serving(d))
 
-    def _serves(self, daemon: Daemon) -> bool:
-        # One that ended by itself stays failed; it is reported as such when
-        # the run is checked, and must not hide behind a wait that is over.
+    def _is_serving(self, daemon: Daemon) -> bool:
+        # Daemons that exited unexpectedly are left out here, so that this
+        # wait does not time out; _check_alive() reports them.
         living = {d.name for d in self.system.daemons if not has_ended(d)}
         states = [
             member["state"]
@@ -270,7 +277,7 @@
         return settled and chat(daemon, "healed [len=3]")[0] == 200
 
     def _heal_engine(self, name: str) -> None:
-        self._fault(
+        self._set_fault(
             name,
             cut=0,
             forget=False,
@@ -284,18 +291,20 @@
         )
 
     def _heal_service(self, name: str) -> None:
-        self._fault(name, refuse=0, drop_after=0, slow_s=0.0, leaving=False)
+        self._set_fault(name, refuse=0, drop_after=0, slow_s=0.0, leaving=False)
 
-    def _fault(self, name: str, **fields: Any) -> None:
+    def _set_fault(self, name: str, **fields: Any) -> None:
         try:
             self.system.fault(name, **fields)
-        except _NO_ANSWER:
-            # Another fault has just killed or frozen it.
+        except _CONNECTION_ERRORS:
+            # Another fault has just killed or suspended it.
             self.counts["fault missed"] += 1
 
     def _heal_stores(self) -> None:
         for name in ("table", "objects", "instances"):
-            self._fault(name, down=False, hang=False, slow_s=0.0, lose_acks=0)
+            self._set_fault(
+                name, down=False, hang=False, slow_s=0.0, lose_acks=0
+            )
 
     def _engines(self) -> list[str]:
         return [f"model-{number + 1}" for number in range(ENGINES)]
@@ -305,119 +314,131 @@
 
     def _caller(self, seed: int) -> None:
         rng = random.Random(seed)
-        while not self._stop.is_set():
+        while not self._stopped.is_set():
             kind = rng.random()
             try:
                 if kind < 0.35:
-                    self._whole(rng)
+                    self._send_whole(rng)
                 elif kind < 0.7:
-                    self._streamed(rng)
+                    self._send_stream(rng)
                 else:
-                    self._call(rng)
-            except _NO_ANSWER:
+                    self._send_service_call(rng)
+            except _CONNECTION_ERRORS:
                 self.counts["no answer"] += 1
             except (ValueError, TypeError) as exc:
-                # Every error has a body that can be read; this one has not,
-                # so a handler failed.
-                self._violated(f"unreadable answer: {exc}")
+                # Every error answer has a JSON body, so a body that can't be
+                # decoded means that a handler failed.
+                self._record_violation(f"unreadable answer: {exc}")
 
-    def _daemon(self, rng: random.Random) -> Daemon:
+    def _choose_daemon(self, rng: random.Random) -> Daemon:
         return rng.choice(list(self.system.daemons))
 
-    def _prompt(self, rng: random.Random) -> str:
+    def _new_prompt(self, rng: random.Random) -> str:
         return f"{rng.getrandbits(60)} [len={rng.randint(1, 60)}]"
 
-    def _whole(self, rng: random.Random) -> None:
-        prompt = self._prompt(rng)
-        status, body = chat(self._daemon(rng), prompt)
+    def _send_whole(self, rng: random.Random) -> None:
+        prompt = self._new_prompt(rng)
+        status, body = chat(self._choose_daemon(rng), prompt)
         self.counts[f"whole {status}"] += 1
         if status == 200 and text_of(body) != answer_to(prompt):
-            self._violated(f"wrong answer to {prompt!r}: {body}")
-        self._note_refusal(status, body, prompt)
+            self._record_violation(f"wrong answer to {prompt!r}: {body}")
+        self._record_not_run(status, body, prompt)
 
-    def _streamed(self, rng: random.Random) -> None:
-        prompt = self._prompt(rng)
+    def _send_stream(self, rng: random.Random) -> None:
+        prompt = self._new_prompt(rng)
         fields = {"model": rng.choice(("helper", "drafter"))}
-        seen = stream(self._daemon(rng), prompt, **fields)
+        seen = stream(self._choose_daemon(rng), prompt, **fields)
         text = seen.text
         for _ in range(3):
             if not (seen.broken and seen.ids):
                 break
-            # The instance died: go on at another one.
+            # The instance has ended: resume the stream at another one.
             self.counts["stream resumed by the caller"] += 1
             headers = {"last-event-id": seen.ids[-1]}
-            daemon = self._daemon(rng)
+            daemon = self._choose_daemon(rng)
             seen = stream(daemon, prompt, KEY, headers, **fields)
             text += seen.text
         self.counts[f"stream {'whole' if seen.whole else seen.status}"] += 1
         expected = answer_to(prompt)
         if seen.whole and text != expected:
-            self._violated(f"wrong stream for {prompt!r}: {text!r}")
+            self._record_violation(f"wrong stream for {prompt!r}: {text!r}")
         if not expected.startswith(text):
-            self._violated(f"foreign tokens for {prompt!r}: {text!r}")
+            self._record_violation(f"wrong tokens for {prompt!r}: {text!r}")
         if seen.status not in (0, 200):
-            self._note_refusal(seen.status, {"error": seen.error}, prompt)
+            self._record_not_run(seen.status, {"error": seen.error}, prompt)
 
-    def _note_refusal(self, status: int, body: Any, prompt: str) -> None:
+    def _record_not_run(self, status: int, body: Any, prompt: str) -> None:
         if status != 200 and body["error"]["ran"] == "no":
             with self._lock:
                 self._not_run_prompts.append(prompt)
 
-    def _call(self, rng: random.Random) -> None:
+    def _send_service_call(self, rng: random.Random) -> None:
         key = f"soak-{rng.getrandbits(60)}" if rng.random() < 0.7 else ""
-        told = Told(key, f"body {rng.getrandbits(60)}")
+        service_call = ServiceCall(key, f"body {rng.getrandbits(60)}")
         with self._lock:
-            self._told.append(told)
+            self._service_calls.append(service_call)
         for _ in range(1 + 3 * bool(key)):
-            answer = self._call_once(self._daemon(rng), told)
-            told.answers.append(answer)
+            answer = self._send_call_once(
+                self._choose_daemon(rng), service_call
+            )
+            service_call.answers.append(answer)
             self.counts[f"call {answer[0]} ran {answer[1]}"] += 1
             if answer[0] == 200:
                 break
             time.sleep(rng.uniform(0.0, 0.5))
 
-    def _call_once(self, daemon: Daemon, told: Told) -> tuple[int, str]:
-        headers = {"idempotency-key": told.key} if told.key else {}
+    def _send_call_once(
+        self, daemon: Daemon, service_call: ServiceCall
+    ) -> tuple[int, str]:
+        headers = (
+            {"idempotency-key": service_call.key} if service_call.key else {}
+        )
         try:
             status, body = call(
                 "POST",
                 daemon.url + CONFIRM,
-                told.body,
+                service_call.body,
                 token=KEY,
                 headers=headers,
                 timeout_s=30.0,
             )
-        except _NO_ANSWER:
+        except _CONNECTION_ERRORS:
             return 0, "unknown"
         if status == 200:
-            if body["body"] != told.body:
-                self._violated(f"answer of another call: {body}")
+            if body["body"] != service_call.body:
+                self._record_violation(
+                    f"got the answer to another call: {body}"
+                )
             return 200, "yes"
         return status, body["error"]["ran"]
 
     def _watch_versions(self) -> None:
-        while not self._stop.is_set():
+        while not self._stopped.is_set():
             for daemon in list(self.system.daemons):
                 try:
                     status = self.system.status(daemon)
-                except _NO_ANSWER:
+                except _CONNECTION_ERRORS:
                     continue
                 version = status["manifest"]["version"]
-                if version < self._versions.get(daemon.name, 0):
-                    self._violated(f"{daemon.name} went back to {version}")
-                self._versions[daemon.name] = version
-            self._stop.wait(0.2)
+                if version < self._manifest_versions.get(daemon.name, 0):
+                    self._record_violation(
+                        f"{daemon.name} reverted to manifest version {version}"
+                    )
+                self._manifest_versions[daemon.name] = version
+            self._stopped.wait(0.2)
 
     def _check_alive(self) -> None:
         for path in self.system.logs():
             text = path.read_text(errors="replace")
             if "Traceback" in text:
                 start = text.index("Traceback")
-                self._violated(f"{path.name}: {text[start : start + 4000]}")
+                self._record_violation(
+                    f"{path.name}: {text[start : start + 4000]}"
+                )
         for daemon in self.system.daemons:
             status = daemon.popen.poll()
             if status is not None:
-                self._violated(
+                self._record_violation(
                     f"{daemon.name} ended with {status}:"
                     f" {daemon.log.read_text()[-3000:]}"
                 )
@@ -425,16 +446,20 @@
     def _check_calls(self) -> None:
         journal = self.system.journal("bookings", "runs")
         runs = collections.Counter(item["body"] for item in journal)
-        for told in self._told:
-            count = runs[told.body]
-            statuses = [status for status, _ in told.answers]
+        for service_call in self._service_calls:
+            count = runs[service_call.body]
+            statuses = [status for status, _ in service_call.answers]
             if count > 1:
-                self._violated(f"ran {count} times: {told}")
+                self._record_violation(f"ran {count} times: {service_call}")
             if 200 in statuses and count != 1:
-                self._violated(f"said done, ran {count} times: {told}")
-            words = {word for _, word in told.answers}
-            if words == {"no"} and count:
-                self._violated(f"said not run, but ran: {told}")
+                self._record_violation(
+                    f"answered 200, but ran {count} times: {service_call}"
+                )
+            ran_values = {ran for _, ran in service_call.answers}
+            if ran_values == {"no"} and count:
+                self._record_violation(
+                    f"answered not run, but ran: {service_call}"
+                )
 
     def _check_prompts(self) -> None:
         ran = {
@@ -445,15 +470,15 @@
         for prompt in self._not_run_prompts:
             base = chat_prompt([{"role": "user", "content": prompt}])
             if xxhash.xxh64_hexdigest(base.encode()) in ran:
-                self._violated(f"said not run, but ran: {prompt!r}")
+                self._record_violation(f"answered not run, but ran: {prompt!r}")
 
-    def _violated(self, what: str) -> None:
+    def _record_violation(self, violation: str) -> None:
         with self._lock:
-            self.violations.append(what)
+            self.violations.append(violation)
 
 
 def has_ended(daemon: Daemon) -> bool:
-    """Returns whether a daemon's process is gone; checked for at the end."""
+    """Returns whether a daemon's process has ended."""
     return daemon.popen.poll() is not None
 
 
@@ -472,7 +497,7 @@
 
 
 def main() -> int:
-    """Runs as the arguments say; returns the exit status."""
+    """Runs one seed; returns the exit status."""
     args = argparse.ArgumentParser(description=__doc__)
     args.add_argument("--seconds", type=float, default=60.0)
     args.add_argument("--seed", type=int, default=1)
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -1,4 +1,4 @@
-"""The list of safeguards names texts and tests that exist."""
+"""Checks that the texts and tests in the list of safeguards exist."""
 
 import unittest
 
@@ -7,15 +7,18 @@
 
 
 class SafeguardsTest(unittest.TestCase):
-    """Each entry can be taken out, and its proof be run."""
+    """Each safeguard can be removed and its test can be run."""
 
-    def test_texts_stand_once(self) -> None:
+    def test_texts_occur_once(self) -> None:
+        # Guards against a safeguard that `make safeguards` can't find, or
+        # finds twice, after its source has changed.
         for item in SAFEGUARDS:
             with self.subTest(item.name):
                 path = ROOT / "src/jasminerelay" / f"{item.module}.py"
                 self.assertEqual(path.read_text().count(item.old), 1)
 
-    def test_proofs_exist(self) -> None:
+    def test_tests_exist(self) -> None:
+        # Guards against an entry whose test was renamed or removed.
         loader = unittest.TestLoader()
         for item in SAFEGUARDS:
             suite = loader.loadTestsFromName(f"tests.{item.proof}")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,7 @@
-"""Short randomised runs with fixed seeds; `make soak` runs longer ones."""
+"""Short randomised fault-injection runs with a fixed seed.
+
+`make soak` and `make soak-platform` run longer ones.
+"""
 
 import unittest
 
@@ -13,12 +16,13 @@
 
 
 class SoakTest(unittest.TestCase):
-    """All faults mixed under load."""
+    """A mix of all faults under load."""
 
     def test_short_run(self) -> None:
-        # Instances, engines, services and stores are killed, frozen, slowed
-        # and cut, alone and in pairs, while callers go on. What callers were
-        # told is compared with what the journals say ran.
+        # Guards against answers that contradict what ran: a call that ran
+        # twice, or ran after a "not run". Instances, engines, services and
+        # stores are killed, suspended, slowed and disconnected, singly and in
+        # pairs, under load; the answers are compared with the journals.
         soak = Soak(SEED, SECONDS)
         soak.run()
         self.assertEqual(soak.violations, [])
@@ -26,12 +30,13 @@
 
 
 class PlatformSoakTest(unittest.TestCase):
-    """The same on the platform's interface, with links that are disturbed."""
+    """A mix of all faults on the platform's interface, also of the links."""
 
     def test_short_run(self) -> None:
-        # Instances are killed, frozen, stopped and started while the store,
-        # the servers and the links to them fail in series and together. What
-        # callers were told is compared with what the servers ran.
+        # Guards against answers that contradict what the servers ran.
+        # Instances are killed, suspended, stopped and restarted while the
+        # store, the servers and the links to them fail, one after another and
+        # concurrently.
         soak = PlatformSoak(SEED, PLATFORM_SECONDS)
         anyio.run(soak.run)
         self.assertEqual(soak.violations, [])
