--- a/standins/engine.py
+++ b/standins/engine.py
@@ -76,7 +76,8 @@
         tokens: Tokens generated here.
         finish: Finish reason; empty while the answer is incomplete.
         readers: Number of connections that read the stream.
-        disconnected_at: When the last connection closed; 0 before that.
+        unread_since: When a connection last closed or the stream ended; 0
+            before that.
         changed: Set at the next token or at the end of the stream.
         prefill_remaining_s: Prefill time not yet charged to a step, in seconds.
     """
@@ -94,7 +95,7 @@
     finish: str = ""
     cancelled: bool = False
     readers: int = 0
-    disconnected_at: float = 0.0
+    unread_since: float = 0.0
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
     prefill_remaining_s: float = 0.0
 
@@ -165,7 +166,7 @@
         if scope["type"] != "http":
             return
         if self._step_task is None:
-            self._step_task = asyncio.create_task(self._run())
+            self._step_task = asyncio.create_task(self._run_steps())
         if scope["path"] == "/faults":
             await set_faults(self.faults, receive, scope, send)
             self._work.set()
@@ -221,7 +222,7 @@
         return response.status == 200
 
     async def state(self, request: Request) -> JSONResponse:
-        """Returns the state set by orders, the orders and the refusals."""
+        """Returns the state set by orders, the orders, the refusal count."""
         del request
         return JSONResponse(
             {
@@ -352,7 +353,7 @@
                 await changed.wait()
         finally:
             stream.readers -= 1
-            stream.disconnected_at = time.monotonic()
+            stream.unread_since = time.monotonic()
 
     def _frames_with_faults(self, stream: Stream, offset: int) -> list[bytes]:
         frame = _token_frame(stream, offset, stream.tokens[offset - 1], None)
@@ -374,7 +375,7 @@
                 self._streams.pop(stream.id, None)
             raise ConnectionError("connection cut by fault injection")
 
-    async def _run(self) -> None:
+    async def _run_steps(self) -> None:
         while True:
             self._admit()
             if not self._running or self.faults.stall:
@@ -439,17 +440,14 @@
             self._running.remove(stream)
         if stream in self._waiting:
             self._waiting.remove(stream)
-        stream.disconnected_at = time.monotonic()
+        stream.unread_since = time.monotonic()
         stream.wake_readers()
         self._work.set()
 
     def _end_abandoned(self, now: float) -> None:
         for stream in list(self._streams.values()):
-            is_unread = not stream.readers and stream.disconnected_at
-            if (
-                is_unread
-                and now - stream.disconnected_at > ABANDONED_STREAM_TTL_S
-            ):
+            is_unread = not stream.readers and stream.unread_since
+            if is_unread and now - stream.unread_since > ABANDONED_STREAM_TTL_S:
                 self._end_stream(stream, "abandoned")
                 del self._streams[stream.id]
 
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -119,11 +119,18 @@
 
 
 class StartError(Exception):
-    """A process exited before it was ready, probably as its port was taken."""
+    """A process exited at its start, usually because its port was taken."""
 
 
 class System:
-    """All processes of one system; a context manager."""
+    """All processes of one system; a context manager.
+
+    Attributes:
+        options: Composition of the system.
+        processes: Stand-ins by name.
+        daemons: Daemons in the order of their start.
+        manifest: Manifest that the daemons got at the start.
+    """
 
     def __init__(self, options: Options):
         self.options = options
@@ -181,7 +188,7 @@
                 wait_for(lambda d=daemon: is_ready(d))
 
     def stop(self) -> None:
-        """Ends every process."""
+        """Kills every process and removes the files."""
         self._kill_all()
         self._dir.cleanup()
 
--- a/standins/platformserver.py
+++ b/standins/platformserver.py
@@ -9,7 +9,7 @@
 import json
 from collections.abc import Callable
 
-TICK_S = 0.01
+EVENT_INTERVAL_S = 0.01
 
 
 @dataclasses.dataclass
@@ -41,7 +41,7 @@
     cross: int = 0
     tear_after: int = 0
     torn: bool = False
-    tick_s: float = TICK_S
+    tick_s: float = EVENT_INTERVAL_S
     fatal: bytes = b""
     fatal_after: int = 0
     limit: bytes = b""
@@ -162,7 +162,7 @@
         if scope["path"].endswith("/stream"):
             await self._send_stream(send, ran)
             return
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(EVENT_INTERVAL_S)
         await self._send_complete(
             send, 200, ran, b"answer to " + ran.attempt.encode()
         )
--- a/standins/platformsite.py
+++ b/standins/platformsite.py
@@ -1,7 +1,7 @@
 """A small site of the users' platform: store, servers, configuration.
 
 All of it runs in the caller's event loop, on ports that the kernel allocates,
-so that a test or a demo starts no other process than the router's instances.
+so that a test or a demo needs no processes other than the router's instances.
 """
 
 import contextlib
@@ -23,7 +23,7 @@
 HOST = "relay.example"
 MODEL = "engines"
 PLAIN = "bookings"
-FIRST_IP = 10
+BASE_IP_OCTET = 10
 """Last octet of the loopback address before that of the first instance."""
 
 
@@ -271,7 +271,9 @@
         ]
         path = self._folder / f"{name}.toml"
         if self.options.links:
-            self._seeds.append(f"127.0.0.{FIRST_IP + self._instances}:{port}")
+            self._seeds.append(
+                f"127.0.0.{BASE_IP_OCTET + self._instances}:{port}"
+            )
         path.write_text("\n".join(lines) + "\n")
         return path
 
@@ -283,7 +285,7 @@
         the second starts after the first has read the rows.
         """
         self._instances += 1
-        return f"127.0.0.{FIRST_IP + self._instances}"
+        return f"127.0.0.{BASE_IP_OCTET + self._instances}"
 
     def _through_link(self, name: str, address: str) -> str:
         """Returns the address of a new link to `address`, if links are on."""
--- a/tests/platformsoak.py
+++ b/tests/platformsoak.py
@@ -156,7 +156,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
         self._requests: list[SentRequest] = []
         self._stopped = False
-        self._number = 0
+        self._added_count = 0
 
     async def run(self) -> None:
         """Runs load and faults, ends the faults, checks logs and journals."""
@@ -229,7 +229,7 @@
     ) -> Iterator[InstanceProcess | None]:
         """Yields an instance without an active fault.
 
-        Yields None if it is the only such instance, so that one always works.
+        Yields None if fewer than two are left, so that one always works.
         """
         free = [item for item in self.instances if not item.busy]
         if len(free) < 2:
@@ -356,9 +356,9 @@
         return rng.choice(names) if names else None
 
     async def _add_server(self, name: str, service: str) -> None:
-        self._number += 1
+        self._added_count += 1
         kind = name.partition("-")[0]
-        await self.site.add_server(f"{kind}-x{self._number}", service)
+        await self.site.add_server(f"{kind}-x{self._added_count}", service)
 
     async def _configure(self, rng: random.Random) -> None:
         del rng
@@ -507,12 +507,12 @@
             f"{instance.path.stem} is not ready within {READY_S} s"
         )
 
-    def _check_recovered(self, request: list[SentRequest]) -> None:
-        good = sum(item.status == 200 and item.whole for item in request)
-        self.counts["after healing"] = len(request)
-        if not request or good < GOOD_SHARE * len(request):
+    def _check_recovered(self, requests_after: list[SentRequest]) -> None:
+        good = sum(item.status == 200 and item.whole for item in requests_after)
+        self.counts["after healing"] = len(requests_after)
+        if not requests_after or good < GOOD_SHARE * len(requests_after):
             self._record_violation(
-                f"served after healing: {good} of {len(request)}"
+                f"served after healing: {good} of {len(requests_after)}"
             )
 
     def _check_logs(self) -> None:
@@ -537,7 +537,7 @@
                 request.attempt
             ):
                 self._record_violation(
-                    f"{request.attempt}: got {request.content!r}"
+                    f"{request.attempt}: wrong answer {request.content!r}"
                 )
 
     def _check_stream(self, request: SentRequest) -> None:
@@ -548,7 +548,7 @@
             )
         if not complete_stream.startswith(request.content):
             self._record_violation(
-                f"{request.attempt}: {request.content[-200:]!r}"
+                f"{request.attempt}: wrong events {request.content[-200:]!r}"
             )
 
     def _check_duties(self) -> None:
@@ -575,7 +575,7 @@
                     )
                 elif ran.target != request.path:
                     self._record_violation(
-                        f"{ran.attempt}: ran as {ran.target}"
+                        f"{ran.attempt}: ran with wrong target {ran.target}"
                     )
                 elif ran.headers.get("tenant") != "elm":
                     self._record_violation(
