--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -38,7 +38,7 @@
         "test_streams.BrokenStreamTest.test_duplicate_and_misrouted_frames",
     ),
     Safeguard(
-        "another engine goes on from what was delivered",
+        "another engine continues after the delivered tokens",
         "answers",
         "            _continue_from(body, self._request.path, self._text)\n",
         "            pass\n",
@@ -46,7 +46,7 @@
         ".test_continues_on_another_engine_if_resume_is_refused",
     ),
     Safeguard(
-        "a failed resume is no proof of not run",
+        "a failed resume does not prove that the request has not run",
         "backends",
         "raise AttemptError(str(exc), Proof.MAY_HAVE_RUN) from exc\n\n\n"
         "async def read_cache_events",
@@ -63,7 +63,7 @@
         ".test_resume_point_of_another_organisation",
     ),
     Safeguard(
-        "a lost answer is not proof of not run",
+        "a lost answer does not prove that the request has not run",
         "backends",
         "except BrokenError as exc:\n"
         "            raise AttemptError(str(exc), Proof.MAY_HAVE_RUN)",
@@ -79,7 +79,7 @@
         "test_atmostonce.AtMostOnceTest.test_two_instances_at_once",
     ),
     Safeguard(
-        "a claim knows its own token",
+        "a claim recognises its own token",
         "claimdesk",
         "if held.token == claim.token:\n                return Won",
         "if False:\n                return Won",
@@ -108,28 +108,28 @@
         "test_atmostonce.AtMostOnceTest.test_other_body_and_other_organisation",
     ),
     Safeguard(
-        "an accepting write knows its own token",
+        "a manifest write recognises its own token",
         "manifests",
         "if row is not None and token in _value(row).tokens:",
         "if False:",
         "test_manifest_force.InForceTest.test_acknowledgement_lost",
     ),
     Safeguard(
-        "a manifest only goes forward",
+        "the manifest version never decreases",
         "spread",
         "return pointer.version > self.pointer.version",
         "return pointer.version != self.pointer.version",
         "test_parsers.SpreadTest.test_only_forward_and_only_whole",
     ),
     Safeguard(
-        "a manifest is the text that its digest names",
+        "a manifest's text matches its digest",
         "spread",
         "if manifest.digest_of(body) != pointer.digest:",
         "if False:",
         "test_parsers.SpreadTest.test_only_forward_and_only_whole",
     ),
     Safeguard(
-        "a fresh instance asks its peers",
+        "a new instance fetches the manifest from peers",
         "manifests",
         "        await self._adopt(offered, reply.body)\n",
         "",
@@ -150,14 +150,14 @@
         "test_broker.RefusalTest.test_sheds_the_lowest_tier",
     ),
     Safeguard(
-        "a full queue makes room for a higher rank",
+        "a full queue evicts an entry for one of higher rank",
         "broker",
         "        victim = self._shed_candidate()\n",
         "        victim = None\n",
         "test_coordination.OverloadTest.test_protected_is_never_shed",
     ),
     Safeguard(
-        "the lowest tier has guaranteed room in the queue",
+        "the lowest tier has guaranteed queue capacity",
         "broker",
         "return math.ceil(waiting.floor_share * self._cell.max_waiting)",
         "return 0",
@@ -171,7 +171,7 @@
         "test_broker.OrderTest.test_floor_bounds_the_lowest_tier",
     ),
     Safeguard(
-        "the word of a leaving server goes round",
+        "a leaving server is broadcast",
         "daemon",
         "            self._note_server(server, leaving=True)\n",
         "            pass\n",
@@ -185,7 +185,7 @@
         "test_stopping.PlannedStopTest.test_streams_finish",
     ),
     Safeguard(
-        "a second SIGTERM does not cut",
+        "a second SIGTERM does not abort requests",
         "daemon",
         "                    self.drain()\n        finally:\n",
         "                    if self._draining:\n"
@@ -194,7 +194,7 @@
         "test_stopping.PlannedStopTest.test_streams_finish",
     ),
     Safeguard(
-        "the death of one instance does not end the others",
+        "the failure of one instance does not end the others",
         "peers",
         "except* grpc.aio.AioRpcError:",
         "except* KeyError:",
@@ -215,7 +215,7 @@
         "test_membership.MembershipTest.test_partition_heals",
     ),
     Safeguard(
-        "the lease counts from before its write",
+        "the lease duration counts from before its write",
         "fencing",
         "self._holds_until = started + self._lease_s * (1 - SAFETY_MARGIN)",
         "self._holds_until = started + 20 "
@@ -223,7 +223,7 @@
         "test_placements.LeaseTest.test_at_most_one_may_order",
     ),
     Safeguard(
-        "only who held the lease last renews it",
+        "only the last lease holder renews the lease",
         "leasing",
         "return self.lease.was_last_holder and await self._write(extra)",
         "return await self._write(extra)",
@@ -237,21 +237,21 @@
         "test_platformduties.DutyTableTest.test_report_is_decided_once",
     ),
     Safeguard(
-        "no turn within the time in which two may not act in turns",
+        "calls of two instances do not alternate within a lease duration",
         "fencing",
         "if now - self._last_order_at < self._turn_s:",
         "if False:",
         "test_duties.DutySimulationTest.test_no_alternation_after_a_restart",
     ),
     Safeguard(
-        "a window that was not heard whole is not reported",
+        "a usage window with missing counts is not reported",
         "usagereports",
         "if not self._ledger.complete(window):",
         "if False:",
         "test_duties.DutySimulationTest.test_no_report_after_loss_of_counts",
     ),
     Safeguard(
-        "a server rests after a failure and is probed",
+        "a failed server gets no requests until a probe succeeds",
         "broker",
         "        if self.stragglers.blocked(server, now):\n"
         "            return True\n",
@@ -267,7 +267,7 @@
         "test_permits.PermitsTest.test_former_broker_releases_permit",
     ),
     Safeguard(
-        "a new session forgets what the former one held",
+        "a new session starts without the permits of the former one",
         "brokers",
         "            hosted.broker.remove_instance(entry, permits=True)\n"
         "        self._sessions[entry] = send",
@@ -282,7 +282,7 @@
         "test_permits.PermitsTest.test_unresponsive_broker_and_late_grant",
     ),
     Safeguard(
-        "the broker of a cell that is gone refuses",
+        "the broker of a removed cell refuses",
         "brokers",
         "hosted.broker.update(directory.cells.get(name, gone))",
         "hosted.broker.update(directory.cells[name]) if name in"
@@ -304,14 +304,14 @@
         "test_following.FollowerTest.test_removal_after_outage",
     ),
     Safeguard(
-        "servers that lapse in an outage stay for a while",
+        "servers whose rows expire in an outage are kept for a while",
         "registry",
         "if in_outage and not held.server.draining:",
         "if False:",
         "test_following.RegistryTest.test_rows_lapsed_during_outage",
     ),
     Safeguard(
-        "a settled list decides on servers without a row",
+        "a settled server list removes servers without a row",
         "registry",
         "self._apply_settled_list(snapshot) if snapshot.settled else []",
         "[]",
@@ -326,7 +326,7 @@
         "test_following.SettledTest.test_list_of_a_fresh_instance_is_not_settled",
     ),
     Safeguard(
-        "the configuration never goes back",
+        "the configuration version never decreases",
         "registry",
         "if self.catalog is not None"
         " and catalog.version < self.catalog.version:",
@@ -390,14 +390,14 @@
         "test_platform.RequestsTest.test_plain_request",
     ),
     Safeguard(
-        "not found only while in touch",
+        "not found is answered only while the store is reachable",
         "platform/ingress",
         "if not self._front.current():",
         "if False:",
         "test_platforminstances.StoreOutageTest.test_unknown_route_without_touch",
     ),
     Safeguard(
-        "an instance that is behind fetches from another",
+        "an instance with outdated rows fetches them from another",
         "standings",
         "if self._registry.is_behind(standing):",
         "if False:",
@@ -522,28 +522,28 @@
         "test_freshness.FreshnessTest.test_answer_does_not_cover_a_change_of_the_other_table",
     ),
     Safeguard(
-        "a stop is answered while the program loads",
+        "a stop signal is handled while the process is loading",
         "stopsignals",
         "        signal.signal(number, _end)\n",
         "        pass\n",
         "test_starting.StartingTest.test_instance_on_the_platform",
     ),
     Safeguard(
-        "changed settings end no program that loads",
+        "changed settings do not end a process that is loading",
         "platform/start",
         "    signal.signal(signal.SIGHUP, signal.SIG_IGN)\n",
         "",
         "test_starting.StartingTest.test_changed_settings",
     ),
     Safeguard(
-        "old rows bring no server back",
+        "old rows do not restore a removed server",
         "registry",
         "or row.version >= max(since, dropped.get(row.id, 0))",
         "or True",
         "test_following.SettledTest.test_history_already_received_from_others",
     ),
     Safeguard(
-        "only knowledge of a known age is good for a final refusal",
+        "only data of a known age allows a final refusal",
         "platform/root",
         "        if self._freshness.age_s(now_s()) > CURRENT_S:\n",
         "        if False:\n",
@@ -551,14 +551,14 @@
         ".test_unknown_route_among_instances_without_touch",
     ),
     Safeguard(
-        "an unreadable configuration lets nothing be refused for good",
+        "no final refusal under an unreadable configuration",
         "platform/root",
         "        if self.registry.misses_configuration:\n",
         "        if False:\n",
         "test_silentstore.SilentStoreTest.test_configuration_that_cannot_be_read",
     ),
     Safeguard(
-        "who hears of a newer configuration refuses nothing for good",
+        "no final refusal once a newer configuration was announced",
         "platform/root",
         "not self._peers.standings.knows_newer(time.monotonic())",
         "True",
@@ -601,7 +601,7 @@
         "test_serverrows.ForeignRowTest.test_data_that_is_not_base64",
     ),
     Safeguard(
-        "callers' patience bounds the queueing delay",
+        "the callers' deadlines bound the queueing delay",
         "admission",
         "self.queue_delay_s + self.first_s - self.patience_s * MARGIN_SHARE,",
         "0.0,",
@@ -674,7 +674,7 @@
         "test_membership.MembershipTest.test_lost_datagrams_among_many",
     ),
     Safeguard(
-        "loss of the store ends a long pause",
+        "loss of the store ends a long polling pause",
         "following",
         "        return abort_waits.is_set()\n",
         "        return False\n",
@@ -718,21 +718,21 @@
         "test_crashes.ProbeTest.test_refuses_shortly_after",
     ),
     Safeguard(
-        "ends that another request explains are let go",
+        "crashes that another request explains are discarded",
         "crashes",
         "if len(crashes - explained) >= MIN_UNEXPLAINED_CRASHES:",
         "if True:",
         "test_crashes.CrashLedgerTest.test_explained_requests_are_released",
     ),
     Safeguard(
-        "all are told from the second end on",
+        "all instances are notified from the second crash on",
         "crashwatch",
         "self._send_reports(*self._broadcast.next_round(others), now)",
         "pass",
         "test_crashes.CrashSimulationTest.test_without_faults",
     ),
     Safeguard(
-        "what is blocked outlasts all instances",
+        "blocked requests stay blocked after all instances restart",
         "crashwatch",
         "await save(self.ledger.to_message(name, time.monotonic()))",
         "pass",
@@ -740,7 +740,7 @@
         ".test_blocked_requests_survive_full_restart",
     ),
     Safeguard(
-        "a grant to send lapses",
+        "a permit to send expires",
         "serverlimits",
         "if grant.count > 0 and grant.expires_at > now",
         "if grant.count > 0",
@@ -748,21 +748,21 @@
         ".test_grant_covers_one_request_and_expires",
     ),
     Safeguard(
-        "a new home has nothing to lend",
+        "a new coordinator has no grants to lend",
         "serverlimits",
         "        self._tokens = 0.0\n",
         "        self._tokens = 5.0\n",
         "test_serverlimits.GrantIssuerTest.test_new_issuer_has_no_tokens",
     ),
     Safeguard(
-        "a server's grants are lent by one home",
+        "a server's grants are lent by one coordinator",
         "limitwatch",
         "coordinator = rendezvous.owner(server, self._names)",
         "coordinator = self._own",
         "test_serverlimits.LimitSimulationTest.test_without_faults",
     ),
     Safeguard(
-        "both sides of a cut lend by their share",
+        "both sides of a network partition lend their share",
         "limitwatch",
         "return min(1.0, live / max(live, most))",
         "return 1.0",
