--- a/standins/platformduties.py
+++ b/standins/platformduties.py
@@ -1,8 +1,7 @@
 """Stand-in for the platform's API that the duties call under a lease.
 
-`DutyJudge` decides the platform's responses and records violations of the
-rules, such as two lease holders at once. `PlatformDuties` serves it over HTTP,
-with the platform's published API.
+A checker decides the platform's responses and records violations of the rules,
+such as two lease holders at once. `PlatformDuties` serves the API over HTTP.
 """
 
 import dataclasses
