--- a/src/jasminerelay/admission.py
+++ b/src/jasminerelay/admission.py
@@ -15,8 +15,9 @@
 
 MIN_RETRY_S = 0.25
 RETRY_SHARE = 0.33
-"""Share of its remaining time for which a caller is asked to wait. Callers do
-not respect a longer wait; a very short one makes all of them retry at once."""
+"""Largest share of its remaining time for which a caller is asked to wait.
+Callers do not respect a longer wait; a very short one makes all of them retry
+at once."""
 
 RETRY_SPREAD_S = 0.4
 """Range over which the retries of requests refused together are spread."""
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -46,7 +46,7 @@
 STREAM_TIMEOUT_PAUSES = 4
 """Timeout after which a resumable stream continues on another server: this
 long, or four times the route's longest pause between events, whichever is
-longer. Callers leave after two seconds or eight pauses."""
+longer. Callers disconnect after two seconds or eight pauses."""
 
 SLOW_CHECK_INTERVAL_S = 0.25
 """Interval of the checks whether a stream can end in time on its server."""
@@ -205,8 +205,8 @@
         self._kit.dispatcher.heard(server.id, time.monotonic())
         head = self._kit.dialect.head(response.status, response.headers)
         # A faulty server may send a second answer to an earlier request. On a
-        # reused connection only the request id tells it from this request's
-        # answer, so an answer without an id isn't accepted there.
+        # reused connection only the request id distinguishes it from this
+        # request's answer, so an answer without an id isn't accepted there.
         answered_id = head.request or ("" if reused else self._call.id)
         if answered_id == self._call.id and not head.misdirected:
             self._kit.limits.heard(server.id, head)
--- a/src/jasminerelay/catalog.py
+++ b/src/jasminerelay/catalog.py
@@ -388,8 +388,8 @@
         prompt: Set for model requests.
         last_event: Id of the last event that the caller received of an earlier
             answer; "" for a new request.
-        arrived: Steady time at which it was read, in seconds.
-        ends: Steady time by which its final answer must be sent.
+        arrived: Monotonic time at which it was read, in seconds.
+        ends: Monotonic time by which its final answer must be sent.
     """
 
     id: str
--- a/src/jasminerelay/evacuation.py
+++ b/src/jasminerelay/evacuation.py
@@ -29,8 +29,8 @@
 the notice arrives slightly late."""
 
 MOVE_TIMEOUT_S = 1.0
-"""Timeout of a move. The stream is paused meanwhile, and its caller leaves when
-the next event takes longer than its limit between two."""
+"""Timeout of a move. The stream is paused meanwhile, and its caller disconnects
+if the next event takes longer than the pause that it allows between two."""
 
 MAX_CONCURRENT_MOVES = 2
 """Maximum concurrent moves of one instance from one server. Copies queue on the
@@ -43,7 +43,7 @@
 
     Attributes:
         source: Address of the server that made it.
-        handle: Its name there.
+        handle: Its identifier on that server.
         at: The server that holds it.
     """
 
--- a/src/jasminerelay/followers.py
+++ b/src/jasminerelay/followers.py
@@ -43,10 +43,10 @@
 
 POLL_AGE_STEP_S = 0.1
 MAX_POLL_AGE_S = 1.6
-"""How much the limit rises with each place in the order, and its maximum. The
-leader's message usually arrives before another instance's limit is reached. The
-maximum keeps a change from taking effect later than two seconds after the store
-has accepted it."""
+"""How much the limit rises with each position in the order, and its maximum.
+The leader's message usually arrives before another instance's limit is reached.
+The maximum keeps a change from taking effect later than two seconds after the
+store has accepted it."""
 
 
 class Followers:
--- a/src/jasminerelay/following.py
+++ b/src/jasminerelay/following.py
@@ -60,7 +60,7 @@
     Attributes:
         rows: The rows.
         version: The store's version when it answered.
-        now_s: The store's steady clock when it answered, in seconds.
+        now_s: The store's monotonic clock when it answered, in seconds.
     """
 
     rows: tuple[ServerRow, ...]
@@ -86,7 +86,7 @@
     """Tracks whether the store answers the calls of this instance.
 
     Attributes:
-        answered: Steady time of the store's last answer to any call.
+        answered: Monotonic time of the store's last answer to any call.
         on_news: Called when the store itself has confirmed the data up to a
             later moment, and when the store becomes unreachable.
     """
--- a/src/jasminerelay/freshness.py
+++ b/src/jasminerelay/freshness.py
@@ -115,8 +115,8 @@
     def _proved_at(self, table_read: _Read) -> float:
         """Returns the moment up to which a table is complete.
 
-        No table changed between the version up to which it is applied and an
-        older version that was still the store's newest at a later moment.
+        If the store's newest version at some moment was no newer than the
+        version up to which this table is applied, the table was complete then.
         """
         return max(
             read.at
--- a/src/jasminerelay/membership.py
+++ b/src/jasminerelay/membership.py
@@ -68,8 +68,8 @@
 
     Attributes:
         member: Its newest record.
-        since: Steady time at which its state changed.
-        last_message_at: Steady time of the last datagram from the instance
+        since: Monotonic time at which its state changed.
+        last_message_at: Monotonic time of the last datagram from the instance
             itself.
     """
 
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -40,7 +40,7 @@
 
 
 class OwnedCells:
-    """All cells whose owner this instance is, or was taken for."""
+    """All cells for which this instance has received placement requests."""
 
     def __init__(
         self,
--- a/src/jasminerelay/pace.py
+++ b/src/jasminerelay/pace.py
@@ -55,8 +55,8 @@
 
 MIN_TIMES = 8
 MAX_TIMES = 64
-"""Minimum number of times per token for an estimate of the step time, and the
-maximum that is kept."""
+"""Minimum number of times per token, since the last estimate of the step time,
+for a new one, and the maximum that is kept."""
 
 
 class TokenTimes:
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -55,9 +55,9 @@
 """Instances that receive each load report, whatever their total number."""
 
 OWNER_FANOUT = 12
-"""Of these, how many are cell owners when the sender owns cells. Owners use the
-reports to forward requests; other instances need them only when an owner
-fails."""
+"""Maximum number of cell owners among these when the sender owns cells. Owners
+use the reports to redirect requests; other instances need them only when an
+owner fails."""
 
 PROBE_ROUNDS = 2
 """Load rounds between two probes. The failure of an instance must be detected
@@ -253,13 +253,13 @@
     def tell_news(self) -> None:
         """Notifies the others that the store confirmed the data, or is lost.
 
-        An instance with the same versions adopts the age of the data, and need
-        not ask the store.
+        An instance that has the same or newer versions adopts this age for its
+        data, and need not ask the store.
         """
         self._send_status(self._followers.told())
 
     def without_store(self) -> list[str]:
-        """Returns the instances that lost the store, including this one."""
+        """Returns the instances that lost the store; may include this one."""
         lost = self.standings.without_store()
         if self._registry.standing.touch == Touch.LOST:
             lost.append(self.membership.own.instance)
--- a/src/jasminerelay/placing.py
+++ b/src/jasminerelay/placing.py
@@ -66,7 +66,8 @@
 event, but a loaded engine slows all its streams."""
 
 SLOW_FACTOR = 2.0
-"""Slowness relative to its peers at which a server counts as slow."""
+"""Time per token, relative to that of its peers, at which a server counts as
+slow."""
 
 ANSWER_TIME_SHARE = 0.75
 """Share of its time limit that a typical answer may take at a server. Each
--- a/src/jasminerelay/standings.py
+++ b/src/jasminerelay/standings.py
@@ -48,7 +48,7 @@
         Args:
             sender: The reporting instance.
             standing: The versions, digest and age of its data.
-            now: Steady time.
+            now: Monotonic time.
             at: Boot time at the same moment, in seconds.
         """
         self._reports[sender] = (now, standing)
