--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -325,34 +325,34 @@
 
     def setUp(self) -> None:
         self.site = Site(30, servers=4)
-        self.leaders = [
+        self.zone_followers = [
             node for node in self.site.nodes.values() if node.followers.led()
         ]
 
     def test_each_has_one_leader(self) -> None:
         led = [
             member.instance
-            for node in self.leaders
+            for node in self.zone_followers
             for member in node.followers.led()
         ]
-        names = {node.name for node in self.leaders}
-        self.assertEqual(len(self.leaders), FOLLOWERS)
+        names = {node.name for node in self.zone_followers}
+        self.assertEqual(len(self.zone_followers), FOLLOWERS)
         self.assertEqual(sorted(led), sorted(set(self.site.names) - names))
 
     def test_silent_leaders(self) -> None:
-        # An instance doesn't poll the store while its leaders send messages,
-        # and does so itself once they have been silent.
-        led = self.leaders[0].followers.led()[0].instance
+        # An instance doesn't follow the store closely while the followers of
+        # its zone send messages, and does so once they have been silent.
+        led = self.zone_followers[0].followers.led()[0].instance
         followers = self.site.nodes[led].followers
         self.assertTrue(followers.closely())
         now = time.monotonic()
-        followers.heard(self.leaders[0].name, now)
+        followers.heard(self.zone_followers[0].name, now)
         self.assertFalse(followers.closely())
-        followers.heard(self.leaders[0].name, now - LED_S)
+        followers.heard(self.zone_followers[0].name, now - LED_S)
         self.assertTrue(followers.closely())
 
     def test_few_instances_all_follow(self) -> None:
-        node = self.leaders[0]
+        node = self.zone_followers[0]
         node.followers.saw_instances([node.member], shared=False)
         self.assertTrue(node.followers.closely())
         self.assertEqual(node.followers.led(), [])
@@ -594,15 +594,15 @@
 
     async def test_refusal_without_delay(self) -> None:
         # The owner finds that a request can't end in time. The caller gets a
-        # refusal at once, with the time of a retry, as nothing has run.
+        # refusal with a Retry-After time at once, as the request has not run.
         site = Site(30, servers=1)
         node = site.nodes["n03"]
         await node.asking.enter(next(prompts(1)), frozenset())
         now = time.monotonic()
-        urgent = next(prompts(1))
-        urgent = call("h", arrived=now, ends=now + 0.1, prompt=urgent.prompt)
+        brief = next(prompts(1))
+        brief = call("h", arrived=now, ends=now + 0.1, prompt=brief.prompt)
         with self.assertRaises(NoRoomError) as caught:
-            await node.asking.enter(urgent, frozenset())
+            await node.asking.enter(brief, frozenset())
         self.assertIsNotNone(caught.exception.retry_s)
 
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -246,8 +246,8 @@
 
     def test_servers_with_little_prefill(self) -> None:
         options = [option("a", Load(unread=50_000)), option("b")]
-        with_prefill_at_most = placing.with_prefill_at_most(options, 4096)
-        self.assertEqual([o.server.id for o in with_prefill_at_most], ["b"])
+        selected = placing.with_prefill_at_most(options, 4096)
+        self.assertEqual([o.server.id for o in selected], ["b"])
 
 
 class PlainPlacingTest(unittest.TestCase):
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -197,8 +197,9 @@
         self.assertEqual(self.followed.ids(), [f"a@{START}"])
 
     def test_found_by_its_id(self) -> None:
-        # Guards against placements at a restarted server that the requesting
-        # instance rejects as stale, and against server ends that go unnoticed.
+        # Guards against placements by an owner at a restarted server that the
+        # requesting instance rejects as stale, and against ends of that server
+        # that go unnoticed.
         known = registry()
         known.take_changes([row(1)], 1)
         (server,) = known.servers_of(POOL)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -21,14 +21,14 @@
 
 def registry() -> Registry:
     """Returns the registry of an instance in a large platform."""
-    registered = Registry(lambda data: types.SimpleNamespace(version=1), decode)
-    registered.take_configuration(7, CONFIGURATION)
+    filled = Registry(lambda data: types.SimpleNamespace(version=1), decode)
+    filled.take_configuration(7, CONFIGURATION)
     rows = [ServerRow(f"s{n}", 10 + n, b"pool:ready") for n in range(SERVERS)]
-    registered.take_all(rows, 10 + SERVERS)
-    return registered
+    filled.take_all(rows, 10 + SERVERS)
+    return filled
 
 
-async def fetch(registered: Registry, query: str) -> bytes:
+async def fetch(sender: Registry, query: str) -> bytes:
     """Returns the body of the answer to a snapshot request."""
     sent = []
 
@@ -40,7 +40,7 @@
         "path": SNAPSHOT_PATH,
         "query_string": query.encode(),
     }
-    await SnapshotApp(registered)(scope, None, send)
+    await SnapshotApp(sender)(scope, None, send)
     return b"".join(sent)
 
 
@@ -84,11 +84,9 @@
             for n in range(500)
         ]
         data = msgspec.json.encode({"version": 7, "routes": routes})
-        registered = Registry(
-            lambda data: types.SimpleNamespace(version=1), decode
-        )
-        registered.take_configuration(7, data)
-        body = await fetch(registered, "")
+        sender = Registry(lambda data: types.SimpleNamespace(version=1), decode)
+        sender.take_configuration(7, data)
+        body = await fetch(sender, "")
         self.assertLess(len(body), len(data) / 4)
         snapshot = decompressed(msgspec.msgpack.decode(body, type=Snapshot))
         self.assertEqual(snapshot.configuration, data)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -89,8 +89,8 @@
                 self.assertLess(found, 10)
 
     def test_one_level_for_each_rank_is_worse(self) -> None:
-        # Shows that the pattern matters: with one level for each rank, urgent
-        # requests are preempted.
+        # Shows that the pattern can detect the fault: with one level for each
+        # rank, requests are preempted while less urgent ones run.
         found = [
             wrong_preemptions(CATALOG.level_of, seed) for seed in range(20)
         ]
