--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -691,10 +691,10 @@
     def _output_estimate(self, call: Call) -> Guess:
         kind = call.route.name
         prompt = call.prompt
-        most = prompt.max_output
+        max_output = prompt.max_output
         return Guess(
-            self.lengths.expect(kind, prompt.expected_output, most),
-            self.lengths.typical(kind, most),
+            self.lengths.expect(kind, prompt.expected_output, max_output),
+            self.lengths.typical(kind, max_output),
         )
 
     def _update_splits(self, now: float) -> None:
--- a/src/jasminerelay/enginemodel.py
+++ b/src/jasminerelay/enginemodel.py
@@ -212,9 +212,9 @@
             )
         return self._speeds
 
-    def _count_sample(self, kept: int) -> None:
+    def _count_sample(self, sample_count: int) -> None:
         self._unfitted += 1
-        if self._unfitted >= kept * REFIT_SHARE:
+        if self._unfitted >= sample_count * REFIT_SHARE:
             self._unfitted = 0
             self._speeds = None
 
--- a/src/jasminerelay/groups.py
+++ b/src/jasminerelay/groups.py
@@ -248,8 +248,8 @@
         }
     rest = count - sum(targets.values())
     for item in sorted(kinds, key=lambda item: item.rank):
-        wanted = max(0.0, item.work / TARGET_UTILISATION - targets[item.kind])
-        granted = min(wanted, rest)
+        needed = max(0.0, item.work / TARGET_UTILISATION - targets[item.kind])
+        granted = min(needed, rest)
         targets[item.kind] += granted
         rest -= granted
     for item in kinds:
--- a/src/jasminerelay/outcome.py
+++ b/src/jasminerelay/outcome.py
@@ -88,7 +88,8 @@
         """
         if self.may_have_run and not self._repeatable:
             raise InvariantError(
-                f"request {self.request_id} may run only once but may have run"
+                f"request {self.request_id} must not be repeated, but it may"
+                " have run"
             )
         self._change_state(State.WAITING)
 
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -272,16 +272,16 @@
         """
         if message.passed or call.prompt is None:
             return None
-        here = (self._service, self._cell)
+        own_cell = (self._service, self._cell)
         kind = call.route.name
-        found = self._queues.shortest(here, kind, time.monotonic())
+        found = self._queues.shortest(own_cell, kind, time.monotonic())
         if found is None:
             return None
-        cell, there_s = found
-        here_s = self._ahead_s(kind)
+        cell, other_delay_s = found
+        own_delay_s = self._ahead_s(kind)
         speeds = self._dispatcher.engines.of(self._service).speeds()
         prefill_s = speeds.reading_s(call.prompt.shared_tokens)
-        if here_s - there_s < prefill_s + MIN_REDIRECT_GAIN_S:
+        if own_delay_s - other_delay_s < prefill_s + MIN_REDIRECT_GAIN_S:
             return None
         servers = len(self._registry.servers_of(self._service))
         busy_s = self._dispatcher.busy_s(call) / max(1, servers)
--- a/src/jasminerelay/registry.py
+++ b/src/jasminerelay/registry.py
@@ -226,8 +226,8 @@
         self, rows: Iterable[ServerRow], version: int
     ) -> list[ServerChange]:
         # An unreadable row makes its own server unusable; the other rows apply.
-        taken = (self._apply_row(row) for row in rows)
-        changes = [change for change in taken if change is not None]
+        applied = (self._apply_row(row) for row in rows)
+        changes = [change for change in applied if change is not None]
         self._servers_received = True
         self._servers_version = max(self._servers_version, version)
         self._rebuild()
--- a/src/jasminerelay/sharedbudget.py
+++ b/src/jasminerelay/sharedbudget.py
@@ -58,9 +58,11 @@
         requests = self._requests.setdefault(service, collections.deque())
         _drop_older(retries, now - self._window_s)
         _drop_older(requests, now - self._window_s)
-        most = max((size for _, size in self._instance_counts), default=1)
+        divisor = max((size for _, size in self._instance_counts), default=1)
         available = (
-            self._ratio * len(requests) + self._allowance / most - len(retries)
+            self._ratio * len(requests)
+            + self._allowance / divisor
+            - len(retries)
         )
         if available < 1:
             return False
--- a/src/jasminerelay/standings.py
+++ b/src/jasminerelay/standings.py
@@ -77,9 +77,9 @@
         """Returns whether a newer configuration was reported recently."""
         own = self._registry.standing.configuration_version
         return any(
-            now - heard_at < NEWER_REPORT_VALID_S
+            now - received_at < NEWER_REPORT_VALID_S
             and standing.configuration_version > own
-            for heard_at, standing in self._reports.values()
+            for received_at, standing in self._reports.values()
         )
 
     def ahead(self, now: float) -> str | None:
@@ -102,7 +102,7 @@
         """Returns whether no other instance has sent a message lately."""
         if not self._reports:
             return False
-        latest = max(heard_at for heard_at, _ in self._reports.values())
+        latest = max(received_at for received_at, _ in self._reports.values())
         return now - latest > ISOLATED_S
 
     def keep(self, names: Collection[str]) -> None:
--- a/tests/instanceworld.py
+++ b/tests/instanceworld.py
@@ -125,17 +125,17 @@
         Failed instances are included until their failure is detected.
         """
         now = anyio.current_time()
-        seen = (round(now / VIEW_INTERVAL_S), node.cut, len(self.nodes))
-        if seen not in self._views:
+        view_key = (round(now / VIEW_INTERVAL_S), node.cut, len(self.nodes))
+        if view_key not in self._views:
             self._views = {
-                seen: [
+                view_key: [
                     Member(x.name, "", "", "", "", x.name, "alive", 0)
                     for x in self.nodes
                     if (x.alive and x.cut == node.cut)
                     or self.dead_s(x) < FAILURE_DETECTION_S
                 ]
             }
-        return self._views[seen]
+        return self._views[view_key]
 
     def dead_s(self, node: Node) -> float:
         """Returns the time since an instance failed; infinity if alive."""
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -421,8 +421,8 @@
     Safeguard(
         "the allowance is divided by the highest recent instance count",
         "sharedbudget",
-        "most = max((size for _, size in self._instance_counts), default=1)",
-        "most = self._instance_counts[-1][1]",
+        "divisor = max((size for _, size in self._instance_counts), default=1)",
+        "divisor = self._instance_counts[-1][1]",
         "test_workload.SharedBudgetTest"
         ".test_partition_does_not_double_the_allowance",
     ),
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -162,9 +162,11 @@
         self.name = name
         self.counted_live = True
         self.member = Member(name, "", "z", "", "", f"{name}:1", ALIVE, 1)
-        known = registry(servers)
-        self.registry = known
-        self.dispatcher = Dispatcher(known, "z", lambda: len(site.names))
+        node_registry = registry(servers)
+        self.registry = node_registry
+        self.dispatcher = Dispatcher(
+            node_registry, "z", lambda: len(site.names)
+        )
         self.counters = Counters(Statsd())
         self.followers = Followers(name, "z")
         self.local = WaitingRoom(
@@ -176,7 +178,7 @@
         self.owned = OwnedCells(
             name,
             "z",
-            known,
+            node_registry,
             self.dispatcher.engines,
             self.dispatcher.lengths,
             self.counters,
@@ -184,7 +186,7 @@
         self.asking = AskingRoom(
             name,
             self.member.peers,
-            known,
+            node_registry,
             self.dispatcher,
             self.local,
             self.counters,
@@ -375,10 +377,12 @@
             for node, item in calls:
                 group.start_soon(_reserve, node, item)
             await anyio.sleep(CHECK_INTERVAL_S)
-            most = max(site.unread(f"i-{number:03}") for number in range(8))
+            max_unread = max(
+                site.unread(f"i-{number:03}") for number in range(8)
+            )
             group.cancel_scope.cancel()
         self.assertLessEqual(
-            most * READ_TOKEN_S, KNOWN_UNREAD_S + 6_000 * READ_TOKEN_S
+            max_unread * READ_TOKEN_S, KNOWN_UNREAD_S + 6_000 * READ_TOKEN_S
         )
 
     async def test_freed_slot_goes_to_one(self) -> None:
@@ -497,7 +501,8 @@
 
     async def test_new_owner_learns_in_flight_requests(self) -> None:
         # The owner crashes and is detected as failed. Its successor learns of
-        # all in-flight requests from the instances that have them.
+        # all in-flight requests from the instances that have them, before it
+        # has placed many requests itself.
         site = Site(30, servers=4)
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
@@ -541,12 +546,14 @@
             for reservation in reservations:
                 reservation.run.read(0.1)
             await anyio.sleep(3 * CHECK_INTERVAL_S)
-            most = max(site.running(f"i-{number:03}") for number in range(2))
+            max_running = max(
+                site.running(f"i-{number:03}") for number in range(2)
+            )
             group.cancel_scope.cancel()
         self.assertEqual(
             sum(node.owned.loads(time.monotonic()) != [] for node in nodes), 2
         )
-        self.assertLessEqual(most, 2 * int(SLOTS * RUN_SHARE))
+        self.assertLessEqual(max_running, 2 * int(SLOTS * RUN_SHARE))
         runs = [reservation.run for reservation in reservations]
         self.assertEqual(len({id(run) for run in runs}), len(runs))
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -96,12 +96,12 @@
             for n in range(count)
         ]
 
-    def parts(self, count: int, **seen) -> list[Followers]:
+    def parts(self, count: int, **arguments) -> list[Followers]:
         """Returns the role of every instance."""
         members = self.members(count)
         roles = [Followers(m.instance, m.zone) for m in members]
         for role in roles:
-            role.saw_instances(members, **seen)
+            role.saw_instances(members, **arguments)
         return roles
 
     def test_one_leads(self) -> None:
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -10,7 +10,7 @@
 from jasminerelay.waitingroom import Seat
 from tests.test_cells import SERVICE, Node, Site, prompts
 
-SOON_S = 0.2
+DELIVERY_WAIT_S = 0.2
 
 
 class PlacedOnceTest(unittest.IsolatedAsyncioTestCase):
@@ -61,18 +61,18 @@
         self.assertEqual(self.reservations[0].owner, "")
         self.assertTrue(self.answers_sent)
         await self.deliver(self.answers_sent, times=3)
-        await anyio.sleep(SOON_S)
+        await anyio.sleep(DELIVERY_WAIT_S)
         self.assert_one_run()
 
     async def test_repeated_answer(self) -> None:
-        # The datagram with the placement arrives three times, both before the
-        # request proceeds and after.
+        # The datagram with the placement arrives three times, as when the owner
+        # repeats it, both before the request proceeds and after.
         self.hold_answers()
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve)
-            await anyio.sleep(SOON_S)
+            await anyio.sleep(DELIVERY_WAIT_S)
             await self.deliver(self.answers_sent, times=3)
-            await anyio.sleep(SOON_S)
+            await anyio.sleep(DELIVERY_WAIT_S)
             await self.deliver(self.answers_sent, times=3)
         self.assert_one_run()
 
@@ -85,7 +85,7 @@
             group.start_soon(self.reserve)
             await anyio.sleep(3 * asking.WAITING_UPDATE_INTERVAL_S)
             await self.deliver(self.answers_sent)
-            await anyio.sleep(SOON_S)
+            await anyio.sleep(DELIVERY_WAIT_S)
             group.cancel_scope.cancel()
         answers = [
             item for _, message in self.answers_sent for item in message.answers
@@ -103,12 +103,12 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.asking.run)
             group.start_soon(self.reserve)
-            await anyio.sleep(SOON_S)
+            await anyio.sleep(DELIVERY_WAIT_S)
             former.counted_live = False
             self.site.publish_membership()
             await anyio.sleep(3 * asking.WAITING_UPDATE_INTERVAL_S)
             await self.deliver(self.answers_sent, times=2)
-            await anyio.sleep(SOON_S)
+            await anyio.sleep(DELIVERY_WAIT_S)
             await self.deliver(reversed(self.answers_sent))
             group.cancel_scope.cancel()
         owners = {
