--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -162,9 +162,11 @@
         self.name = name
         self.counted_live = True
         self.member = Member(name, "", "z", "", "", f"{name}:1", ALIVE, 1)
-        known = registry(servers)
-        self.registry = known
-        self.dispatcher = Dispatcher(known, "z", lambda: len(site.names))
+        node_registry = registry(servers)
+        self.registry = node_registry
+        self.dispatcher = Dispatcher(
+            node_registry, "z", lambda: len(site.names)
+        )
         self.counters = Counters(Statsd())
         self.followers = Followers(name, "z")
         self.local = WaitingRoom(
@@ -176,7 +178,7 @@
         self.owned = OwnedCells(
             name,
             "z",
-            known,
+            node_registry,
             self.dispatcher.engines,
             self.dispatcher.lengths,
             self.counters,
@@ -184,7 +186,7 @@
         self.asking = AskingRoom(
             name,
             self.member.peers,
-            known,
+            node_registry,
             self.dispatcher,
             self.local,
             self.counters,
@@ -325,34 +327,34 @@
 
     def setUp(self) -> None:
         self.site = Site(30, servers=4)
-        self.leaders = [
+        self.zone_followers = [
             node for node in self.site.nodes.values() if node.followers.led()
         ]
 
     def test_each_has_one_leader(self) -> None:
         led = [
             member.instance
-            for node in self.leaders
+            for node in self.zone_followers
             for member in node.followers.led()
         ]
-        names = {node.name for node in self.leaders}
-        self.assertEqual(len(self.leaders), FOLLOWERS)
+        names = {node.name for node in self.zone_followers}
+        self.assertEqual(len(self.zone_followers), FOLLOWERS)
         self.assertEqual(sorted(led), sorted(set(self.site.names) - names))
 
     def test_silent_leaders(self) -> None:
-        # An instance doesn't poll the store while its leaders send messages,
-        # and does so itself once they have been silent.
-        led = self.leaders[0].followers.led()[0].instance
+        # An instance doesn't follow the store closely while the followers of
+        # its zone send messages, and does so once they have been silent.
+        led = self.zone_followers[0].followers.led()[0].instance
         followers = self.site.nodes[led].followers
         self.assertTrue(followers.closely())
         now = time.monotonic()
-        followers.heard(self.leaders[0].name, now)
+        followers.heard(self.zone_followers[0].name, now)
         self.assertFalse(followers.closely())
-        followers.heard(self.leaders[0].name, now - LED_S)
+        followers.heard(self.zone_followers[0].name, now - LED_S)
         self.assertTrue(followers.closely())
 
     def test_few_instances_all_follow(self) -> None:
-        node = self.leaders[0]
+        node = self.zone_followers[0]
         node.followers.saw_instances([node.member], shared=False)
         self.assertTrue(node.followers.closely())
         self.assertEqual(node.followers.led(), [])
@@ -375,10 +377,12 @@
             for node, item in calls:
                 group.start_soon(_reserve, node, item)
             await anyio.sleep(CHECK_INTERVAL_S)
-            most = max(site.unread(f"i-{number:03}") for number in range(8))
+            max_unread = max(
+                site.unread(f"i-{number:03}") for number in range(8)
+            )
             group.cancel_scope.cancel()
         self.assertLessEqual(
-            most * READ_TOKEN_S, KNOWN_UNREAD_S + 6_000 * READ_TOKEN_S
+            max_unread * READ_TOKEN_S, KNOWN_UNREAD_S + 6_000 * READ_TOKEN_S
         )
 
     async def test_freed_slot_goes_to_one(self) -> None:
@@ -497,7 +501,8 @@
 
     async def test_new_owner_learns_in_flight_requests(self) -> None:
         # The owner crashes and is detected as failed. Its successor learns of
-        # all in-flight requests from the instances that have them.
+        # all in-flight requests from the instances that have them, before it
+        # has placed many requests itself.
         site = Site(30, servers=4)
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
@@ -541,12 +546,14 @@
             for reservation in reservations:
                 reservation.run.read(0.1)
             await anyio.sleep(3 * CHECK_INTERVAL_S)
-            most = max(site.running(f"i-{number:03}") for number in range(2))
+            max_running = max(
+                site.running(f"i-{number:03}") for number in range(2)
+            )
             group.cancel_scope.cancel()
         self.assertEqual(
             sum(node.owned.loads(time.monotonic()) != [] for node in nodes), 2
         )
-        self.assertLessEqual(most, 2 * int(SLOTS * RUN_SHARE))
+        self.assertLessEqual(max_running, 2 * int(SLOTS * RUN_SHARE))
         runs = [reservation.run for reservation in reservations]
         self.assertEqual(len({id(run) for run in runs}), len(runs))
 
@@ -594,15 +601,15 @@
 
     async def test_refusal_without_delay(self) -> None:
         # The owner finds that a request can't end in time. The caller gets a
-        # refusal at once, with the time of a retry, as nothing has run.
+        # refusal with a Retry-After time at once, as the request has not run.
         site = Site(30, servers=1)
         node = site.nodes["n03"]
         await node.asking.enter(next(prompts(1)), frozenset())
         now = time.monotonic()
-        urgent = next(prompts(1))
-        urgent = call("h", arrived=now, ends=now + 0.1, prompt=urgent.prompt)
+        brief = next(prompts(1))
+        brief = call("h", arrived=now, ends=now + 0.1, prompt=brief.prompt)
         with self.assertRaises(NoRoomError) as caught:
-            await node.asking.enter(urgent, frozenset())
+            await node.asking.enter(brief, frozenset())
         self.assertIsNotNone(caught.exception.retry_s)
 
 
