--- a/src/jasminerelay/crashwatch.py
+++ b/src/jasminerelay/crashwatch.py
@@ -177,7 +177,7 @@
         """Handles a connection that broke off with a request in flight.
 
         Waits up to `MAX_PROBE_WAIT_S` for the first probe of the server, since
-        a request that crashed it may not be retried.
+        a crash may make the request a suspect, which is not retried.
         """
         held = self._registry.server(server.id)
         if held is None or held.draining or self._probing is None:
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -67,8 +67,8 @@
 reports."""
 
 STARTUP_S = 15.0
-"""Age up to which a first start of this instance counts as the first start of
-the whole system: counts are kept for longer."""
+"""Age up to which this instance takes part in the first start of the whole
+system, at which a new coordinator receives all counts: they are kept longer."""
 
 BACKOFF_S = 6.0
 """How long an instance that could not reach the platform leaves the duties to
@@ -98,7 +98,7 @@
         counters: Counters,
         log: EventLog,
     ):
-        """Creates an instance's part, without other instances yet.
+        """Creates the duties of an instance that has no other members yet.
 
         Args:
             own: This instance.
--- a/src/jasminerelay/errors.py
+++ b/src/jasminerelay/errors.py
@@ -157,7 +157,7 @@
 
 
 class TooSlowError(RelayError):
-    """The caller did not send its whole request in time."""
+    """The caller paused for too long while it sent its request."""
 
     status = 408
     code = "request_too_slow"
@@ -218,7 +218,7 @@
 
 
 class NotReadyError(RelayError):
-    """The instance has no manifest yet."""
+    """The instance has no current configuration yet, or is shutting down."""
 
     status = 503
     code = "not_ready"
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -106,7 +106,8 @@
             )
         rate = NO_LIMIT if head.limit is None else head.limit
         if rate == NO_LIMIT and head.not_run:
-            # Whatever rejected the request may not be what states the limits.
+            # The request may have been rejected by a component other than the
+            # one that states limits, so this does not show that a limit ended.
             return
         self._record_limit(server, rate, time.monotonic(), "server")
 
--- a/src/jasminerelay/netstream.py
+++ b/src/jasminerelay/netstream.py
@@ -90,7 +90,7 @@
         )
 
     def get_extra_info(self, info: str) -> Any:
-        """Returns whether the connection is readable for "is_readable"."""
+        """Returns for "is_readable" whether data can be read; else None."""
         if info == "is_readable":
             raw = self._stream.extra(SocketAttribute.raw_socket)
             return _is_readable(raw)
--- a/src/jasminerelay/platform/bootfile.py
+++ b/src/jasminerelay/platform/bootfile.py
@@ -12,7 +12,7 @@
 USAGE_DUTY = "usage_report"
 SERVERS_DUTY = "autoscaler"
 KNOWN_DUTIES = (USAGE_DUTY, SERVERS_DUTY)
-MS = 1e3
+MS_PER_S = 1e3
 
 
 class _Listen(msgspec.Struct):
@@ -29,8 +29,8 @@
     retry_allowance: float = msgspec.field(name="retryAllowance", default=10)
     # Longest time for which callers may cache an entry list.
     ttl_max_s: float = 5
-    # Within this time after a call of one instance no other instance may make
-    # a call.
+    # Time span within which calls of two instances must not alternate: none of
+    # another instance may fall between two of one.
     lease_ms: float = msgspec.field(name="leaseMs", default=3000)
     usage_window_s: float = msgspec.field(name="windowS", default=5)
     # Time after the end of a window at which its report is due.
@@ -76,7 +76,8 @@
         usage: Whether to report usage.
         servers: Whether to order servers.
         calls_s: Calls per second allowed for all instances together.
-        lease_s: Time within which only one instance may make calls.
+        lease_s: Time span within which calls of two instances must not
+            alternate.
         window_s: Length of a usage window.
         late_s: Time after the end of a window at which its report is due.
     """
@@ -241,7 +242,7 @@
         USAGE_DUTY in selected,
         SERVERS_DUTY in selected,
         calls.calls_per_s,
-        raw.bounds.lease_ms / MS,
+        raw.bounds.lease_ms / MS_PER_S,
         raw.bounds.usage_window_s,
         raw.bounds.usage_late_s,
     )
--- a/src/jasminerelay/platform/documents.py
+++ b/src/jasminerelay/platform/documents.py
@@ -20,7 +20,7 @@
     Share,
 )
 
-MS = 1000.0
+MS_PER_S = 1000.0
 MBPS = 1e6
 DRAINING = "draining"
 MIN_CALLER_IDLE_S = 2.0
@@ -172,8 +172,8 @@
         Bounds(
             raw.limits.body_bytes,
             raw.limits.head_bytes,
-            raw.limits.head_ms / MS,
-            raw.limits.idle_ms / MS,
+            raw.limits.head_ms / MS_PER_S,
+            raw.limits.idle_ms / MS_PER_S,
         ),
     )
 
@@ -239,9 +239,9 @@
         raw.prefix,
         repeat,
         streaming,
-        raw.timeout_ms / MS,
-        raw.objective_ms / MS,
-        raw.pause_ms / MS,
+        raw.timeout_ms / MS_PER_S,
+        raw.objective_ms / MS_PER_S,
+        raw.pause_ms / MS_PER_S,
         raw.rank,
         tuple(shares),
         max(1, raw.max_servers),
@@ -255,8 +255,8 @@
     """Returns the time without an event after which callers close a stream."""
     return max(
         MIN_CALLER_IDLE_S,
-        CALLER_IDLE_OBJECTIVES * raw.objective_ms / MS,
-        CALLER_IDLE_PAUSES * raw.pause_ms / MS,
+        CALLER_IDLE_OBJECTIVES * raw.objective_ms / MS_PER_S,
+        CALLER_IDLE_PAUSES * raw.pause_ms / MS_PER_S,
     )
 
 
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -26,8 +26,8 @@
 RENEW_SHARE = 1 / 3
 CALL_TIMEOUT_SHARE = 1 / 6
 """Duration of the lease, its age at renewal, and the time limit for a call, as
-fractions of the time within which only one instance may make calls. The
-fractions let another instance replace a dead lease holder within that time."""
+fractions of the time span within which calls of two instances must not
+alternate. They let another instance replace a dead holder within that span."""
 
 
 def build_duties(
--- a/src/jasminerelay/platform/headers.py
+++ b/src/jasminerelay/platform/headers.py
@@ -15,7 +15,8 @@
 """The platform's urgencies range from 0, the most urgent, to 9."""
 
 MISDIRECTED = 421
-"""Status from a server other than the expected one; it ran no request."""
+"""Status from a server that has taken over the address of the expected one. The
+request has not run."""
 
 ATTEMPT_ID = b"attempt-id"
 DEADLINE = b"deadline-ms"
@@ -68,9 +69,9 @@
         LAST_EVENT_ID,
     }
 )
-"""Fields that only the router may set. A caller that could send them would be
-able to reserve capacity, to move or preempt other callers' requests, or to
-impersonate another organisation."""
+"""Fields that the router sets itself, or that only it may set. A caller that
+could send the latter would be able to reserve capacity, to move or preempt
+other callers' requests, or to impersonate another organisation."""
 
 _NOT_RETURNED = _HOP_BY_HOP | {
     b"content-length",
--- a/src/jasminerelay/platform/storeclient.py
+++ b/src/jasminerelay/platform/storeclient.py
@@ -32,7 +32,7 @@
 must be in force."""
 
 CONDITION_FAILED = 412
-MS = 1e3
+MS_PER_S = 1e3
 
 PAGE_ROWS = 500
 """Rows per response; the store's maximum."""
@@ -145,7 +145,7 @@
             rows += [_row(item) for item in response.rows]
             version = response.version if version is None else version
             if not response.more or not response.rows:
-                return Page(tuple(rows), version, response.now_ms / MS)
+                return Page(tuple(rows), version, response.now_ms / MS_PER_S)
             source = response.rows[-1].key + "\x00"
 
     async def changes(self, table: str, after: int, wait_s: float) -> Page:
@@ -195,7 +195,7 @@
             reply.status != CONDITION_FAILED,
             response.version,
             tuple(_row(item) for item in response.rows),
-            response.now_ms / MS,
+            response.now_ms / MS_PER_S,
         )
 
     async def _transact(
@@ -250,7 +250,7 @@
     def _update_clock_offset(self, response: _Response, sent_at: float) -> None:
         # The store read its clock after the call was sent, so the difference is
         # an upper bound of the offset.
-        self._max_clock_offset_s = response.now_ms / MS - sent_at
+        self._max_clock_offset_s = response.now_ms / MS_PER_S - sent_at
 
 
 def _decode(reply: Reply) -> _Response:
--- a/src/jasminerelay/platform/tables.py
+++ b/src/jasminerelay/platform/tables.py
@@ -25,7 +25,7 @@
 """Number of latest reports whose rows are kept: those that may still be sent,
 and a few more."""
 
-MS = 1e3
+MS_PER_S = 1e3
 
 
 class TableSource:
@@ -128,7 +128,7 @@
         self, expect: int, row: LeaseRow, extra: Report | None = None
     ) -> tuple[bool, _StoredLease]:
         """Writes the lease and, in the same transaction, the report if any."""
-        at_ms = self._store.latest_store_now_s() * MS
+        at_ms = self._store.latest_store_now_s() * MS_PER_S
         body = msgspec.json.encode(_LeaseBody(row, at_ms))
         conditions = [Condition(DUTIES_TABLE, LEASE_KEY, expect)]
         rows = [NewRow(DUTIES_TABLE, LEASE_KEY, body)]
@@ -179,7 +179,7 @@
             return _StoredLease(found.version, None, 0.0)
         if body.row.given_up:
             return _StoredLease(found.version, body.row, math.inf)
-        age_s = max(0.0, now_s - body.at_ms / MS)
+        age_s = max(0.0, now_s - body.at_ms / MS_PER_S)
         return _StoredLease(found.version, body.row, age_s)
 
 
@@ -215,7 +215,7 @@
     async def read(self) -> list[ServerEnds]:
         """Returns the crashes of all rows; raises StoreError on failure."""
         found = []
-        now_ms = round(time.time() * MS)
+        now_ms = round(time.time() * MS_PER_S)
         for row in (await self._store.read(CRASHES_TABLE)).rows:
             if row.data is None:
                 continue
@@ -235,7 +235,7 @@
 
 
 async def _save(store: Store, crashes: ServerEnds) -> None:
-    now_ms = round(time.time() * MS)
+    now_ms = round(time.time() * MS_PER_S)
     row = _BlockedRequest(
         crashes.servers,
         [now_ms - age_ms for age_ms in crashes.ages_ms],
--- a/src/jasminerelay/scaling.py
+++ b/src/jasminerelay/scaling.py
@@ -103,8 +103,8 @@
         >>> planner = ServerPlanner("chat")
         >>> scaling = Scaling(1, 9, 4.0, 0.2, {"a": 1.0})
         >>> orders = planner.plan(scaling, [], 2.0, now=0.0)
-        >>> [(order.preemptible, order.count) for order in orders]
-        [(False, 3), (True, 6)]
+        >>> [(x.service, x.zone, x.preemptible, x.count) for x in orders]
+        [('chat', 'a', False, 3), ('chat', 'a', True, 6)]
     """
 
     def __init__(self, service: str):
@@ -182,7 +182,7 @@
         return order.count > kind.desired
 
     def _is_unavailable(self, zone: str, scaling: Scaling, now: float) -> bool:
-        """Returns whether a zone's preemptible servers were withdrawn."""
+        """Returns whether preemptible servers were refused or withdrawn."""
         pool = self._pool(zone, True)
         if now - pool.refused_at < REFUSAL_TTL_S:
             return True
--- a/src/jasminerelay/telemetry.py
+++ b/src/jasminerelay/telemetry.py
@@ -46,10 +46,10 @@
         """Returns the metrics in the Prometheus exposition format."""
         return generate_latest(self._registry)
 
-    def _histogram(self, name: str, endpoint: str) -> Histogram:
+    def _histogram(self, name: str, milestone: str) -> Histogram:
         return Histogram(
             f"{METRIC_PREFIX}_{name}",
-            f"Time to the {endpoint}, by rank.",
+            f"Time to the {milestone}, by rank.",
             ["rank"],
             buckets=LATENCY_BUCKETS_S,
             registry=self._registry,
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -256,7 +256,7 @@
         "        if self.stragglers.blocked(server, now):\n"
         "            return True\n",
         "",
-        "test_broker.SoftStateTest.test_failed_server_rests_and_is_probed",
+        "test_broker.SoftStateTest.test_failed_server_is_blocked_then_probed",
     ),
     Safeguard(
         "a former broker keeps no permit",
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -248,7 +248,7 @@
         self.assertEqual(granted(first), granted(broker.step(0.0)))
         self.assertEqual(broker.held, 1)
 
-    def test_failed_server_rests_and_is_probed(self) -> None:
+    def test_failed_server_is_blocked_then_probed(self) -> None:
         broker = Broker(cell(server("bad"), server("good", slots=1)))
         broker.stragglers.failed("bad", 0.0)
         for name in ("a", "b", "c"):
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -205,7 +205,7 @@
 
 
 class CrashSimulationTest(unittest.TestCase):
-    """One request that crashes servers among many others, simulated."""
+    """Simulates a culprit among many requests, at up to 195 instances."""
 
     def simulate(
         self, seed: int, instances: int, *, faults: bool = True
--- a/tests/test_crashingrequests.py
+++ b/tests/test_crashingrequests.py
@@ -21,7 +21,8 @@
 """Pause between two retries: every instance has then learnt of the crash."""
 
 FINAL_STATUS = 500
-"""Status of a blocked request: no later outcome, no invitation to retry."""
+"""Status of a blocked request. It promises no later outcome and does not ask
+the client to retry."""
 
 
 class CrashCase(PlatformCase):
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -10,7 +10,10 @@
 
 
 class DemoTest(unittest.TestCase):
-    """The demos run to their end without a failed request."""
+    """The demos run to a planned stop without a failed request.
+
+    The first one joins both users' manifests and uses every class.
+    """
 
     def run_demo(self, module: str) -> str:
         done = subprocess.run(
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -227,7 +227,7 @@
 
 
 class LimitSimulationTest(unittest.TestCase):
-    """More requests than the limits allow, simulated."""
+    """Simulates more requests than allowed, at up to 195 instances."""
 
     def simulate(self, seed: int, instances: int, **options) -> LimitSimulation:
         """Simulates one seed and asserts what must hold for every seed."""
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -202,8 +202,9 @@
         self.assertTrue(rest.whole, rest.error)
         self.assertEqual(part.text + rest.text, answer_to(prompt))
         self.assertEqual(len(self.system.journal("model", "attempts")), 1)
-        # Once the engines are killed the stream cannot be gone. The caller
-        # must get an error and never a partial answer as complete.
+        # Once the engines are killed the stream cannot be resumed. The caller
+        # must get an error that says so, and never a partial answer as
+        # complete.
         for name in ("model-1", "model-2"):
             self.system.processes[name].kill()
         gone = stream(second, prompt, KEY, headers)
