--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -239,12 +239,12 @@
         another broker, or the instance that held their permits has failed.
         They occupy slots all the same.
         """
-        seen_at = now - report.age_s
+        measured_at = now - report.age_s
         settled = sum(
             1
             for permit in self._permits.values()
             if permit.server == server
-            and permit.granted_at <= seen_at - REPORT_LAG_S
+            and permit.granted_at <= measured_at - REPORT_LAG_S
         )
         recent = self._granted[server] - settled
         reported = report.running + report.waiting
@@ -415,11 +415,11 @@
             return True
         servers = self._usable()
         slots = sum(server.slots for server in servers)
-        taken = sum(
+        occupied = sum(
             self._granted[server.name] + self._unattributed.get(server.name, 0)
             for server in servers
         )
-        left = slots - taken + self._preemptible_below(waiting.rank)
+        left = slots - occupied + self._preemptible_below(waiting.rank)
         return left > math.ceil(waiting.leave_free * slots)
 
     def _preemptible_below(self, rank: int) -> int:
@@ -478,28 +478,29 @@
             return 0
         return math.ceil(waiting.floor_share * self._cell.max_waiting)
 
-    def _admit(self, newcomer: Waiting) -> bool:
+    def _admit(self, incoming: Waiting) -> bool:
         """Returns whether a full queue admits the request, shedding if needed.
 
-        Sheds from the lowest tier that exceeds its guaranteed queue length,
-        and within a tier the newest request. A request that was refused
-        before and returns with its age therefore replaces a younger one.
+        Sheds from the lowest tier that exceeds its guaranteed queue length, and
+        within a tier the request with the latest deadline, in most cases the
+        newest. A request that was refused before and returns with its age
+        therefore replaces a younger one.
         """
-        if newcomer.started:
+        if incoming.started:
             # Refusing it would waste the tokens already delivered. The number
             # of such requests is bounded by the slots.
             return True
-        if len(self._tiers[newcomer.rank]) < self._guaranteed_queue_length(
-            newcomer
+        if len(self._tiers[incoming.rank]) < self._guaranteed_queue_length(
+            incoming
         ):
             return True
         victim = self._shed_candidate()
-        if victim is None or victim.rank < newcomer.rank:
+        if victim is None or victim.rank < incoming.rank:
             return False
-        younger = victim.arrived > newcomer.arrived
-        if victim.rank == newcomer.rank and not younger:
+        younger = victim.arrived > incoming.arrived
+        if victim.rank == incoming.rank and not younger:
             return False
-        if victim.started or (victim.protected and not newcomer.protected):
+        if victim.started or (victim.protected and not incoming.protected):
             return False
         self._dequeue(victim)
         self._refuse(victim, REFUSED_FULL)
--- a/src/jasminerelay/brokers.py
+++ b/src/jasminerelay/brokers.py
@@ -315,7 +315,7 @@
         """Sends an empty frame to each instance with queued requests.
 
         The connections of a frozen broker stay open. Without heartbeats an
-        instance could not tell a long queue from an unresponsive broker.
+        instance could not distinguish a long queue from a frozen broker.
         """
         waiting = {
             entry
--- a/src/jasminerelay/crashes.py
+++ b/src/jasminerelay/crashes.py
@@ -104,7 +104,7 @@
         )
 
     def suspects(self) -> list[str]:
-        """Returns the suspect requests, which all instances must learn of."""
+        """Returns the suspect requests, of which all instances are notified."""
         return [name for name in self._records if self.suspect(name)]
 
     def servers(self, fingerprint: str) -> list[str]:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -406,7 +406,7 @@
     def _leaving_hold_expired(self, server: str) -> bool:
         """Returns whether a leaving server may be used again.
 
-        A load report that does not say `leaving` is not enough: reports lag,
+        A load report without the `leaving` flag is not enough: reports lag,
         and some servers never report that they are leaving.
         """
         notice = self.membership.notice_of(server)
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -53,7 +53,7 @@
 TIMEOUT_STEP_S = 0.5
 """Additional time that each further coordinator waits."""
 
-TAKE_RETRY_S = 0.6
+LEASE_RETRY_S = 0.6
 """Pause between two reads of a lease that another instance still holds."""
 
 MESSAGE_TTL_S = 3.0
@@ -132,7 +132,7 @@
 
         self._coordinator_since: dict[str, float] = {}
         self._holder_seen_at = now_s()
-        self._take_tried_at = float("-inf")
+        self._lease_tried_at = float("-inf")
         self._corrected_at = float("-inf")
         self._started_at = now_s()
         self.first_start = False
@@ -344,18 +344,18 @@
                 await self.reports.serve()
             if self.orders is not None:
                 await self.orders.serve()
-        elif self._may_try_to_take(now):
-            self._take_tried_at = now
+        elif self._may_try_lease(now):
+            self._lease_tried_at = now
             await self._keeper.try_take()
 
-    def _may_try_to_take(self, now: float) -> bool:
+    def _may_try_lease(self, now: float) -> bool:
         rank = self._coordinator_rank
         if rank is None or self._stopping or self._backing_off(now):
             return False
         timeout_s = HOLDER_TIMEOUT_S + TIMEOUT_STEP_S * rank
         if now - self._holder_seen_at < timeout_s:
             return False
-        return now - self._take_tried_at >= TAKE_RETRY_S
+        return now - self._lease_tried_at >= LEASE_RETRY_S
 
     def _backing_off(self, now: float) -> bool:
         return now < self._backoff_until and len(self._coordinators) > 1
--- a/src/jasminerelay/epidemic.py
+++ b/src/jasminerelay/epidemic.py
@@ -20,7 +20,7 @@
 
 RESYNC_EVERY_ROUNDS = 10
 """Rounds between two full synchronisations with one other instance, from which
-new instances learn what they missed."""
+new instances receive the items that they missed."""
 
 
 class EpidemicBroadcast:
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -265,8 +265,8 @@
     def _fleet_share(self) -> float:
         """Returns the fraction of a limit for the instances reachable here."""
         live = len(self._names)
-        most = max((size for _, size in self._fleet_sizes), default=live)
-        return min(1.0, live / max(live, most))
+        largest = max((size for _, size in self._fleet_sizes), default=live)
+        return min(1.0, live / max(live, largest))
 
     def _broadcast_limits(self, now: float) -> None:
         others = [x for x in self._members.values() if x.instance != self._own]
--- a/src/jasminerelay/netstream.py
+++ b/src/jasminerelay/netstream.py
@@ -97,8 +97,8 @@
         return None
 
     def _abort(self) -> None:
-        # Shutting the socket down wakes the reader. The expired guard tells it
-        # that this was a timeout and not a disconnect of the remote host.
+        # Shutting the socket down resumes the pending read. The expired guard
+        # marks this as a timeout and not a disconnect of the remote host.
         raw = self._stream.extra(SocketAttribute.raw_socket)
         try:
             raw.shutdown(socket.SHUT_RDWR)
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -56,14 +56,14 @@
     table = DutyTable(store, log)
     keeper = LeaseKeeper(table, lease, boot.name, own.instance, now_s)
     calls = DutyApi(client, options.address, boot.name, call_s, log)
-    desk = DutyDesk(keeper, calls, options.calls_s, now_s, counters, log)
+    caller = DutyDesk(keeper, calls, options.calls_s, now_s, counters, log)
     clock = TrueClock(now_s(), time.time())
     usage = OwnUsage(options.window_s)
     ledger = UsageLedger()
     duties = Duties(
         own,
         keeper,
-        desk,
+        caller,
         usage,
         ledger,
         clock,
@@ -75,7 +75,7 @@
     duties.first_start = boot.first_start
     if options.usage:
         duties.reports = UsageReports(
-            desk,
+            caller,
             table,
             ledger,
             options.window_s,
@@ -86,6 +86,6 @@
         )
     if options.servers:
         duties.orders = ServerOrders(
-            desk, registry, duties.work, now_s, counters, log
+            caller, registry, duties.work, now_s, counters, log
         )
     return duties
--- a/src/jasminerelay/scaling.py
+++ b/src/jasminerelay/scaling.py
@@ -319,9 +319,9 @@
         self._had_work = self._had_work or work > 0
         needed = _servers_needed(price, work)
         zones = len(scaling.zone_prices)
-        most = scaling.most * zones
-        needed = min(most, max(scaling.least * zones, needed))
-        self._target = min(most, self._target)
+        max_servers = scaling.most * zones
+        needed = min(max_servers, max(scaling.least * zones, needed))
+        self._target = min(max_servers, self._target)
         if not work or needed >= self._target * (1 - MIN_SHRINK_SHARE):
             self._target = max(self._target, needed)
             self._shrinkable_since = None
--- a/tests/crashworld.py
+++ b/tests/crashworld.py
@@ -10,7 +10,7 @@
 
 SERVICE = "engines"
 PROPAGATION_S = 3.0
-"""Time after which every connected instance must have learnt of a crash."""
+"""Time after which every connected instance must have a record of a crash."""
 
 DURATION_S = 24.0
 FAULTS_DURATION_S = 12.0
--- a/tests/limitworld.py
+++ b/tests/limitworld.py
@@ -8,11 +8,11 @@
 from tests.instanceworld import InstanceWorld, Node, Quiet
 
 PROPAGATION_S = 3.0
-"""Time after which every connected instance must have learnt of a limit."""
+"""Time after which every connected instance must have a record of a limit."""
 
 LIMITED_FROM_S = 2.0
 CLEARED_AFTER_S = 10.0
-"""Time after the end of the limits by which all instances must know of it."""
+"""Time after the end of the limits by which no instance may apply them."""
 
 SEND_INTERVAL_S = 0.03
 MEMBERSHIP_INTERVAL_S = 0.25
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -764,7 +764,7 @@
     Safeguard(
         "both sides of a cut lend by their share",
         "limitwatch",
-        "return min(1.0, live / max(live, most))",
+        "return min(1.0, live / max(live, largest))",
         "return 1.0",
         "test_serverlimits.PartitionTest.test_both_sides_of_a_partition",
     ),
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -351,8 +351,8 @@
         if not hasattr(self, "broker"):
             return
         for name, slots in self.slots.items():
-            taken = sum(server == name for server in self.held.values())
-            assert taken <= slots
+            occupied = sum(server == name for server in self.held.values())
+            assert occupied <= slots
         assert self.broker.held == len(self.held)
         assert self.broker.waiting == len(self.queued)
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -172,15 +172,15 @@
 
     def test_resume_point_of_another_organisation(self) -> None:
         daemon = self.system.daemons[0]
-        seen = stream(daemon, "own [len=5]")
-        headers = {"last-event-id": seen.ids[1]}
+        streamed = stream(daemon, "own [len=5]")
+        headers = {"last-event-id": streamed.ids[1]}
         foreign = stream(daemon, "own [len=5]", OTHER_KEY, headers)
         self.assertEqual(foreign.status, 403)
 
     def test_forged_resume_point(self) -> None:
         daemon = self.system.daemons[0]
-        seen = stream(daemon, "own [len=5]")
-        signed_prefix, _, offset = seen.ids[1].rpartition(":")
+        streamed = stream(daemon, "own [len=5]")
+        signed_prefix, _, offset = streamed.ids[1].rpartition(":")
         for forged in (
             f"{signed_prefix[:-2]}xx:{offset}",
             "nothing",
@@ -193,8 +193,8 @@
 
     def test_resume_point_of_another_request(self) -> None:
         daemon = self.system.daemons[0]
-        seen = stream(daemon, "own [len=5]")
-        headers = {"last-event-id": seen.ids[1]}
+        streamed = stream(daemon, "own [len=5]")
+        headers = {"last-event-id": streamed.ids[1]}
         answer = stream(daemon, "other [len=5]", KEY, headers)
         self.assertEqual(answer.status, 403)
 
--- a/tests/test_crashingrequests.py
+++ b/tests/test_crashingrequests.py
@@ -18,7 +18,7 @@
 
 REPEATS = 8
 RETRY_PAUSE_S = 0.4
-"""Pause between two retries: every instance has then learnt of the crash."""
+"""Pause between two retries: every instance then has a record of the crash."""
 
 FINAL_STATUS = 500
 """Status of a blocked request. It promises no later outcome and does not ask
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -111,7 +111,7 @@
 
     def test_by_cause(self) -> None:
         served = {"ended": "done", "status": 200, "whole": True}
-        lost = (
+        unserved = (
             {"ended": "done", "status": 503, "why": "no room in time"},
             {"ended": "done", "status": 503, "why": "full", "servers": ["s"]},
             {"ended": "caller left", "status": 0, "servers": ["s"]},
@@ -125,12 +125,12 @@
         log = [line(1.0, "e", "request", id="ok", route="r", **served)]
         log += [
             line(2.0, "e", "request", id=f"x{number}", route="r", **fields)
-            for number, fields in enumerate(lost)
+            for number, fields in enumerate(unserved)
         ]
         total, losses = explain.summarize(explain.read(log)[0])
         self.assertEqual(total, {"r": 9})
         self.assertEqual({item.count for item in losses}, {1})
-        self.assertEqual(len(losses), len(lost))
+        self.assertEqual(len(losses), len(unserved))
 
     def test_sorted_by_count(self) -> None:
         log = [
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -196,11 +196,11 @@
         text = text.replace(b"\n", b"\r\n") if len(parts) % 2 else text
         whole = sse.Parser().feed(text)
         self.assertEqual([event.data for event in whole], lines)
-        parser, pieces, start = sse.Parser(), [], 0
+        parser, events, start = sse.Parser(), [], 0
         for cut in [*sorted(c for c in cuts if c < len(text)), len(text)]:
-            pieces += parser.feed(text[start:cut])
+            events += parser.feed(text[start:cut])
             start = cut
-        self.assertEqual(pieces, whole)
+        self.assertEqual(events, whole)
 
     @FUZZ
     @given(strategies.lists(strategies.binary()))
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -30,8 +30,8 @@
         self.assertGreaterEqual(simulation.min_running, 12)
 
     def test_on_demand_servers_stay_before_any_load(self) -> None:
-        # Guards against on-demand servers removed to make room for others while
-        # no load shows how many are needed.
+        # Guards against on-demand servers removed in favour of preemptible ones
+        # while no load shows how many are needed.
         simulation = ScalingSimulation(4, scaling())
         for server in simulation.hide_rows(6):
             simulation.run_for(1.5, 0.0)
