--- a/src/jasminerelay/netstream.py
+++ b/src/jasminerelay/netstream.py
@@ -90,15 +90,15 @@
         )
 
     def get_extra_info(self, info: str) -> Any:
-        """Returns whether the connection is readable for "is_readable"."""
+        """Returns for "is_readable" whether data can be read; else None."""
         if info == "is_readable":
             raw = self._stream.extra(SocketAttribute.raw_socket)
             return _is_readable(raw)
         return None
 
     def _abort(self) -> None:
-        # Shutting the socket down wakes the reader. The expired guard tells it
-        # that this was a timeout and not a disconnect of the remote host.
+        # Shutting the socket down resumes the pending read. The expired guard
+        # marks this as a timeout and not a disconnect of the remote host.
         raw = self._stream.extra(SocketAttribute.raw_socket)
         try:
             raw.shutdown(socket.SHUT_RDWR)
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -26,8 +26,8 @@
 RENEW_SHARE = 1 / 3
 CALL_TIMEOUT_SHARE = 1 / 6
 """Duration of the lease, its age at renewal, and the time limit for a call, as
-fractions of the time within which only one instance may make calls. The
-fractions let another instance replace a dead lease holder within that time."""
+fractions of the time span within which calls of two instances must not
+alternate. They let another instance replace a dead holder within that span."""
 
 
 def build_duties(
@@ -56,14 +56,14 @@
     table = DutyTable(store, log)
     keeper = LeaseKeeper(table, lease, boot.name, own.instance, now_s)
     calls = DutyApi(client, options.address, boot.name, call_s, log)
-    desk = DutyDesk(keeper, calls, options.calls_s, now_s, counters, log)
+    caller = DutyDesk(keeper, calls, options.calls_s, now_s, counters, log)
     clock = TrueClock(now_s(), time.time())
     usage = OwnUsage(options.window_s)
     ledger = UsageLedger()
     duties = Duties(
         own,
         keeper,
-        desk,
+        caller,
         usage,
         ledger,
         clock,
@@ -75,7 +75,7 @@
     duties.first_start = boot.first_start
     if options.usage:
         duties.reports = UsageReports(
-            desk,
+            caller,
             table,
             ledger,
             options.window_s,
@@ -86,6 +86,6 @@
         )
     if options.servers:
         duties.orders = ServerOrders(
-            desk, registry, duties.work, now_s, counters, log
+            caller, registry, duties.work, now_s, counters, log
         )
     return duties
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -256,7 +256,7 @@
         "        if self.stragglers.blocked(server, now):\n"
         "            return True\n",
         "",
-        "test_broker.SoftStateTest.test_failed_server_rests_and_is_probed",
+        "test_broker.SoftStateTest.test_failed_server_is_blocked_then_probed",
     ),
     Safeguard(
         "a former broker keeps no permit",
@@ -764,7 +764,7 @@
     Safeguard(
         "both sides of a network partition lend their share",
         "limitwatch",
-        "return min(1.0, live / max(live, most))",
+        "return min(1.0, live / max(live, largest))",
         "return 1.0",
         "test_serverlimits.PartitionTest.test_both_sides_of_a_partition",
     ),
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -248,7 +248,7 @@
         self.assertEqual(granted(first), granted(broker.step(0.0)))
         self.assertEqual(broker.held, 1)
 
-    def test_failed_server_rests_and_is_probed(self) -> None:
+    def test_failed_server_is_blocked_then_probed(self) -> None:
         broker = Broker(cell(server("bad"), server("good", slots=1)))
         broker.stragglers.failed("bad", 0.0)
         for name in ("a", "b", "c"):
@@ -351,8 +351,8 @@
         if not hasattr(self, "broker"):
             return
         for name, slots in self.slots.items():
-            taken = sum(server == name for server in self.held.values())
-            assert taken <= slots
+            occupied = sum(server == name for server in self.held.values())
+            assert occupied <= slots
         assert self.broker.held == len(self.held)
         assert self.broker.waiting == len(self.queued)
 
