--- a/src/jasminerelay/asking.py
+++ b/src/jasminerelay/asking.py
@@ -531,7 +531,7 @@
         self, servers: Iterable[str], now: float
     ) -> list[TokenWord]:
         observations = []
-        paces = self._dispatcher.paces
+        paces = self._dispatcher.token_times
         for name in servers:
             token_s = paces.own_s(name, now) or 0.0
             step_s = paces.undisturbed_s(name) or 0.0
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -202,7 +202,7 @@
         except BrokenError as exc:
             self._report_lost()
             return Unknown(str(exc))
-        self._kit.dispatcher.heard(server.id, time.monotonic())
+        self._kit.dispatcher.record_response(server.id, time.monotonic())
         head = self._kit.dialect.head(response.status, response.headers)
         # A faulty server may send a second answer to an earlier request. On a
         # reused connection only the request id distinguishes it from this
@@ -327,25 +327,32 @@
     ) -> None:
         await leaving_event.wait()
         dispatcher = self._kit.dispatcher
-        left_s = dispatcher.left_s(self._call, server, self._progress.events)
+        left_s = dispatcher.remaining_s(
+            self._call, server, self._progress.events
+        )
         if not self._sink.started or left_s < MIN_REMAINING_S:
             return
         await self._move(
-            server, dispatcher.refuge(self._call, self._tried_servers())
+            server,
+            dispatcher.reserve_migration_target(
+                self._call, self._tried_servers()
+            ),
         )
 
     async def _move_when_slow(self, server: BackendServer) -> None:
         dispatcher = self._kit.dispatcher
         while self._progress.moves < MAX_MOVES:
             await anyio.sleep(SLOW_CHECK_INTERVAL_S)
-            if not self._sink.started or not dispatcher.cannot_end(
+            if not self._sink.started or not dispatcher.needs_faster_server(
                 self._call, server, self._progress.events
             ):
                 continue
             if self._move_ended is not None or self._progress.copy is not None:
                 return
             avoid = frozenset((server.id,))
-            reservation = dispatcher.quicker(self._call, server, avoid)
+            reservation = dispatcher.reserve_faster_server(
+                self._call, server, avoid
+            )
             if reservation is not None:
                 await self._move(server, reservation)
                 return
@@ -432,14 +439,16 @@
     def events(self, count: int) -> None:
         """Records events that have just arrived."""
         now = time.monotonic()
-        self._kit.dispatcher.heard(self._reservation.placed.server.id, now)
+        self._kit.dispatcher.record_response(
+            self._reservation.placed.server.id, now
+        )
         if not self.first_at:
             self.first_at = now
             self._record_prefill(now)
             self._reservation.run.read(now - self._sent_at)
             self._kit.queue.freed(self._call.service)
         else:
-            self._kit.dispatcher.paces.observe(
+            self._kit.dispatcher.token_times.observe(
                 self._reservation.placed.server.id,
                 count * self.event_tokens,
                 now - self._last_event_at,
@@ -450,7 +459,7 @@
 
     def _record_prefill(self, now: float) -> None:
         reservation = self._reservation
-        self._kit.dispatcher.note_reading(
+        self._kit.dispatcher.record_first_event(
             self._call,
             reservation.placed,
             reservation.run.ahead,
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -96,7 +96,7 @@
     """Chooses servers for requests; opens no connections.
 
     Attributes:
-        sees_steps: Whether step times are measured from the streams of this
+        measures_step_times: Whether step times are measured from the streams of this
             instance; otherwise cell owners receive them in reports.
     """
 
@@ -129,7 +129,7 @@
         self._zone = zone
         self._instances = instances
         self.workload = Workload()
-        self.meter = DemandMeter()
+        self.demand_meter = DemandMeter()
         self.demand = DemandView()
         self._splits: dict[str, Split] = {}
         self._kinds: dict[str, list[KindDemand]] = {}
@@ -140,11 +140,11 @@
         self._allowance = Allowance() if allowance is None else allowance
         self.lengths = lengths or Lengths()
         self._response_monitor = response_monitor or ResponseMonitor()
-        self.paces = TokenTimes()
-        self.engines = engines or EngineModels()
+        self.token_times = TokenTimes()
+        self.engine_models = engines or EngineModels()
         self._kind_queues: dict[tuple[str, str], _KindQueue] = {}
-        self.sees_steps = True
-        self.on_split: OnSplit = lambda service, groups, demand: None
+        self.measures_step_times = True
+        self.on_split_change: OnSplit = lambda service, groups, demand: None
 
     def own_loads(self, now: float) -> list[ServerLoad]:
         """Returns this instance's load and decode speed at each server."""
@@ -152,13 +152,13 @@
             dataclasses.replace(
                 item,
                 token_us=round(
-                    US_PER_S * (self.paces.own_s(item.server, now) or 0)
+                    US_PER_S * (self.token_times.own_s(item.server, now) or 0)
                 ),
             )
             for item in self.workload.own()
         ]
 
-    def hear_loads(
+    def apply_load_report(
         self,
         instance: str,
         number: int,
@@ -171,9 +171,11 @@
             return
         for item in loads:
             if item.token_us:
-                self.paces.hear(item.server, item.token_us / US_PER_S, now)
+                self.token_times.hear(
+                    item.server, item.token_us / US_PER_S, now
+                )
 
-    def heard(self, server: str, now: float) -> None:
+    def record_response(self, server: str, now: float) -> None:
         """Records that a server sent some response, whatever it was."""
         self._response_monitor.record_response(server, now)
 
@@ -192,17 +194,17 @@
         held = catalog.services.get(service) if catalog else None
         return held.engine if held else None
 
-    def arrived(self, call: Call) -> None:
+    def record_arrival(self, call: Call) -> None:
         """Records the arrival of a request."""
         if call.prompt is None:
             return
         engine = self.engine_of(call.service)
         if engine is not None:
-            model = self.engines.of(call.service)
+            model = self.engine_models.of(call.service)
             model.set_initial_estimate(engine, call.route, call.prompt.tokens)
         kind = call.route.name
         resources = self._resource_need(call)
-        self.meter.record(call.service, kind, call.route.rank, resources)
+        self.demand_meter.record(call.service, kind, call.route.rank, resources)
         split = self._splits.get(call.service)
         if split is None or not split.group(kind):
             self._update_splits(time.monotonic())
@@ -302,7 +304,9 @@
         self, call: Call, servers: list[BackendServer]
     ) -> list[Option]:
         now = time.monotonic()
-        comparison = self.paces.compare((item.id for item in servers), now)
+        comparison = self.token_times.compare(
+            (item.id for item in servers), now
+        )
         shared = call.prompt.shared if call.prompt is not None else ()
         part_hashes = tuple(part_hash(part.id) for part in shared)
         return [
@@ -397,9 +401,9 @@
         return left_s / speeds.read_token_s
 
     def _speeds(self, service: str) -> Speeds:
-        return self.engines.of(service).speeds()
+        return self.engine_models.of(service).speeds()
 
-    def note_reading(
+    def record_first_event(
         self, call: Call, placed: Placed, ahead: int, seconds: float
     ) -> None:
         """Records the time to a request's first event.
@@ -417,7 +421,7 @@
             return
         tokens = ahead + placed.unread
         sample = EngineSample(call.service, True, tokens, seconds)
-        self.engines.add_local_sample(sample, time.monotonic())
+        self.engine_models.add_local_sample(sample, time.monotonic())
 
     def reserve(
         self, call: Call, placed: Placed, number: int | None = None
@@ -455,14 +459,16 @@
             engine.cache_tokens,
         )
 
-    def seat_at(self, call: Call, server: BackendServer) -> Seat:
+    def reserve_at(self, call: Call, server: BackendServer) -> Seat:
         """Reserves capacity at a server that has the request's KV cache."""
         self._allowance.spend(server.id, time.monotonic())
         memory = call.prompt.tokens + self._output_estimate(call).output
         run = self.workload.start(server.id, 0, memory)
         return Seat(Placed(server, 0, memory), run)
 
-    def refuge(self, call: Call, avoid: frozenset[str]) -> Seat | None:
+    def reserve_migration_target(
+        self, call: Call, avoid: frozenset[str]
+    ) -> Seat | None:
         """Reserves a server for a stream that must leave a draining server.
 
         All instances learn of a draining server at the same moment and see the
@@ -487,7 +493,7 @@
         ]
         # A full server is better than none: without one the stream breaks off.
         by_id = {item.id: item for item in available or group}
-        return self.seat_at(call, by_id[rendezvous.owner(call.id, by_id)])
+        return self.reserve_at(call, by_id[rendezvous.owner(call.id, by_id)])
 
     def _migration_targets(
         self, service: str, avoid: frozenset[str]
@@ -505,7 +511,7 @@
             return servers
         return [x for x in servers if not self._allowance.limited(x.id)]
 
-    def cannot_end(
+    def needs_faster_server(
         self, call: Call, server: BackendServer, events: int
     ) -> bool:
         """Returns whether a stream must move to finish in time.
@@ -518,7 +524,7 @@
         if engine is None or not engine.moves:
             return False
         left_s = (call.ends - time.monotonic()) * CURRENT_SERVER_SHARE
-        if self.left_s(call, server, events) < left_s:
+        if self.remaining_s(call, server, events) < left_s:
             return False
         speeds = self._speeds(call.service)
         token_s = speeds.token_s(engine.slots / 2)
@@ -527,7 +533,7 @@
             > left_s * FAST_SERVER_SHARE
         )
 
-    def quicker(
+    def reserve_faster_server(
         self, call: Call, server: BackendServer, avoid: frozenset[str]
     ) -> Seat | None:
         """Reserves a faster server for a stream that cannot finish where it is.
@@ -540,7 +546,9 @@
         now = time.monotonic()
         memory = call.prompt.tokens + self._output_estimate(call).output
         speeds = self._speeds(call.service)
-        current_token_s = self.paces.token_s(server.id, now) or speeds.step_s
+        current_token_s = (
+            self.token_times.token_s(server.id, now) or speeds.step_s
+        )
         others = self._migration_targets(call.service, avoid)
         by_id = {
             item.server.id: item.server
@@ -551,14 +559,18 @@
         }
         if not by_id:
             return None
-        return self.seat_at(call, by_id[rendezvous.owner(call.id, by_id)])
+        return self.reserve_at(call, by_id[rendezvous.owner(call.id, by_id)])
 
-    def left_s(self, call: Call, server: BackendServer, events: int) -> float:
+    def remaining_s(
+        self, call: Call, server: BackendServer, events: int
+    ) -> float:
         """Returns the expected remaining time of a stream at its server."""
         engine = self.engine_of(call.service)
         if engine is None:
             return 0.0
-        seconds_per_token = self.paces.token_s(server.id, time.monotonic())
+        seconds_per_token = self.token_times.token_s(
+            server.id, time.monotonic()
+        )
         seconds_per_token = (
             seconds_per_token or self._speeds(call.service).step_s
         )
@@ -607,7 +619,7 @@
         delay_s = (1 + requests_ahead) * self._instances() / max(rate, MIN_RATE)
         return WaitEstimate(delay_s, busy_s, left_s)
 
-    def ahead_s(self, service: str, kind: str, queued_s: float) -> float:
+    def queue_delay_s(self, service: str, kind: str, queued_s: float) -> float:
         """Returns the expected queueing delay of a new model request.
 
         Args:
@@ -640,7 +652,7 @@
         decoding = [item.id for item in servers] if moves else names
         unread = sum(self.workload.load(name).unread for name in names)
         speeds = self._speeds(service)
-        token_times = (self.paces.token_s(name, now) for name in decoding)
+        token_times = (self.token_times.token_s(name, now) for name in decoding)
         self._kind_queues[key] = _KindQueue(
             now,
             speeds.reading_s(unread) / len(names),
@@ -659,7 +671,7 @@
         self._prefixes.forget(server)
         if self._caches is not None:
             self._caches.forget(server)
-        self.paces.forget(server)
+        self.token_times.forget(server)
         self._response_monitor.forget(server)
 
     def tick(self, now: float) -> None:
@@ -668,12 +680,12 @@
         if now - self._splits_updated_at < SPLIT_INTERVAL_S:
             return
         self._splits_updated_at = now
-        self.meter.tick(now)
+        self.demand_meter.tick(now)
         self._update_splits(now)
 
     def own_demand(self) -> list[KindDemand]:
         """Returns the demand of this instance's callers, to be shared."""
-        return self.meter.demand(self._need_time_s)
+        return self.demand_meter.demand(self._need_time_s)
 
     def _resource_need(self, call: Call) -> ResourceNeed:
         output = self._output_estimate(call).output
@@ -706,15 +718,15 @@
             # capacity.
             capacity = self._unlimited(there) or there
             servers = [item.id for item in capacity]
-            if self.sees_steps:
+            if self.measures_step_times:
                 self._record_steps(name, servers, now)
             demand = self.demand.total(name, now)
             self._kinds[name] = demand
             split = self._splits.setdefault(name, Split())
             if split.update(servers, demand):
-                self.on_split(name, split.groups, demand)
+                self.on_split_change(name, split.groups, demand)
 
-    def note_step(
+    def record_step_time(
         self, service: str, server: str, step_s: float, now: float
     ) -> None:
         """Records an engine's step time if its prefill backlog is small.
@@ -734,15 +746,15 @@
         if not load.running or prefill_s > UNDISTURBED_PREFILL_S:
             return
         sample = EngineSample(service, False, load.running, step_s)
-        self.engines.add_local_sample(sample, now)
+        self.engine_models.add_local_sample(sample, now)
 
     def _record_steps(
         self, service: str, servers: list[str], now: float
     ) -> None:
         for name in servers:
-            step_s = self.paces.undisturbed_s(name)
+            step_s = self.token_times.undisturbed_s(name)
             if step_s is not None:
-                self.note_step(service, name, step_s, now)
+                self.record_step_time(service, name, step_s, now)
 
     def _group(
         self, service: str, kind: str, servers: list[BackendServer]
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -52,7 +52,7 @@
     async def run(self) -> None:
         """Serves the request; cancelled when the caller disconnects."""
         call = self._call
-        self._kit.dispatcher.arrived(call)
+        self._kit.dispatcher.record_arrival(call)
         self._kit.budget.requested(call.service, call.arrived)
         ended = "caller left"
         try:
@@ -87,7 +87,7 @@
     async def _reserve(self) -> Seat:
         copy = self._progress.copy
         if copy is not None:
-            return self._kit.dispatcher.seat_at(self._call, copy.at)
+            return self._kit.dispatcher.reserve_at(self._call, copy.at)
         avoid = frozenset(self._progress.tried)
         return await self._kit.queue.enter(self._call, avoid)
 
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -177,7 +177,7 @@
             CacheView(),
             self._allowance,
         )
-        dispatcher.on_split = lambda *found: self.on_split(*found)
+        dispatcher.on_split_change = lambda *found: self.on_split(*found)
         return CellOwner(
             self._own,
             service,
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -184,7 +184,9 @@
         found = []
         for server in self._registry.servers_of(self._service):
             load = self._dispatcher.workload.load(server.id)
-            token_s = self._dispatcher.paces.token_s(server.id, now) or 0.0
+            token_s = (
+                self._dispatcher.token_times.token_s(server.id, now) or 0.0
+            )
             found.append(
                 ServerLoad(
                     server.id,
@@ -218,7 +220,7 @@
         self._dispatcher.gone(server)
 
     def _ahead_s(self, kind: str) -> float:
-        return self._dispatcher.ahead_s(
+        return self._dispatcher.queue_delay_s(
             self._service, kind, self.queue.queued_s(kind)
         )
 
@@ -232,7 +234,7 @@
         if call is None:
             return PlaceAnswer(message.number, FOREIGN)
         if message.first:
-            self._dispatcher.arrived(call)
+            self._dispatcher.record_arrival(call)
         request = _Request(call)
         sender.requests[message.number] = request
         admitted = False
@@ -279,7 +281,7 @@
             return None
         cell, other_delay_s = found
         own_delay_s = self._ahead_s(kind)
-        speeds = self._dispatcher.engines.of(self._service).speeds()
+        speeds = self._dispatcher.engine_models.of(self._service).speeds()
         prefill_s = speeds.reading_s(call.prompt.shared_tokens)
         if own_delay_s - other_delay_s < prefill_s + MIN_REDIRECT_GAIN_S:
             return None
@@ -315,10 +317,10 @@
         self, request: _Request, run: Run, first_s: float, now: float
     ) -> None:
         run.read(first_s)
-        self._dispatcher.heard(run.server, now)
+        self._dispatcher.record_response(run.server, now)
         queue_entry = request.queue_entry
         if queue_entry is not None and queue_entry.seat is not None:
-            self._dispatcher.note_reading(
+            self._dispatcher.record_first_event(
                 request.call, queue_entry.seat.placed, run.ahead, first_s
             )
 
@@ -329,7 +331,7 @@
         for item in ended:
             if item.good:
                 health.succeeded(item.server)
-                self._dispatcher.heard(item.server, now)
+                self._dispatcher.record_response(item.server, now)
             elif item.bad:
                 health.failed(item.server, now)
             request = sender.requests.get(item.number)
@@ -345,11 +347,11 @@
             if item.silent:
                 self._unresponsive.told(item.server, now)
             if item.token_us:
-                self._dispatcher.paces.hear(
+                self._dispatcher.token_times.hear(
                     item.server, item.token_us / US, now
                 )
             if item.step_us:
-                self._dispatcher.note_step(
+                self._dispatcher.record_step_time(
                     self._service, item.server, item.step_us / US, now
                 )
 
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -289,7 +289,8 @@
             count = min(OWNER_FANOUT, len(owners))
             chosen = self._rng.sample(owners, count) + chosen[count:]
         message = dataclasses.replace(
-            self._peer_message(None), samples=self._dispatcher.engines.untold()
+            self._peer_message(None),
+            samples=self._dispatcher.engine_models.untold(),
         )
         data = peerwords.encode(message)
         for member in chosen:
@@ -389,10 +390,12 @@
             self.on_store_lost()
         self.standings.hear(message.sender, message.standing, now, now_s())
         loads = peerwords.load_rows(message.loads)
-        self._dispatcher.hear_loads(message.sender, message.number, loads, now)
+        self._dispatcher.apply_load_report(
+            message.sender, message.number, loads, now
+        )
         demand = peerwords.demand_rows(message.demand)
         self._dispatcher.demand.hear(message.sender, demand, now)
-        self._dispatcher.engines.hear(message.samples, now)
+        self._dispatcher.engine_models.hear(message.samples, now)
         if self._owned is not None:
             self._owned.queues.hear(message.queues, now)
             if message.standing.touch != Touch.LOST:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -268,7 +268,7 @@
             lambda: self._peers.count,
             allowance=self._rate_limits.allowance,
         )
-        self.dispatcher.on_split = self._log_split
+        self.dispatcher.on_split_change = self._log_split
         member = Member(
             member_id, "", boot.zone, boot.callers, "", boot.peers, LEAVING, 0
         )
@@ -314,7 +314,7 @@
             member_id,
             boot.zone,
             self.registry,
-            self.dispatcher.engines,
+            self.dispatcher.engine_models,
             self.dispatcher.lengths,
             self.counters,
             self._rate_limits.allowance,
@@ -440,7 +440,7 @@
             work={item.kind: round(item.work, 2) for item in demand},
             size={item.kind: round(item.size) for item in demand},
             speeds=dataclasses.asdict(
-                self.dispatcher.engines.of(service).speeds()
+                self.dispatcher.engine_models.of(service).speeds()
             ),
             **self._versions(),
         )
@@ -531,7 +531,7 @@
         self._rate_limits.saw_instances(
             live, self._peers.known, time.monotonic()
         )
-        self.dispatcher.sees_steps = not self._placement_client.active
+        self.dispatcher.measures_step_times = not self._placement_client.active
 
     async def _discover_peers(self) -> None:
         registered = False
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -179,7 +179,7 @@
             name,
             "z",
             node_registry,
-            self.dispatcher.engines,
+            self.dispatcher.engine_models,
             self.dispatcher.lengths,
             self.counters,
         )
@@ -193,7 +193,7 @@
         )
         self.owned.answer = self._send_answers
         self.asking.send = self._send_update
-        model = self.dispatcher.engines.of(SERVICE)
+        model = self.dispatcher.engine_models.of(SERVICE)
         for tokens in (1_000, 4_000, 8_000, 16_000) * 3:
             model.read(tokens, FIRST_EVENT_S + tokens * READ_TOKEN_S, 0.0)
             model.stepped(tokens // 1_000, TOKEN_S, 0.0)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -61,7 +61,7 @@
         # need three servers of eight while long prompts were refused.
         instance = dispatcher(4)
         chat = call(route=route(name="chat", rank=0), prompt=call().prompt)
-        instance.arrived(chat)
+        instance.record_arrival(chat)
         before_s = instance.busy_s(chat)
         for number in range(4):
             instance.workload.start(f"i-{number:03}", 30_000, 40_000)
@@ -71,7 +71,7 @@
     def test_slow_step_is_measured_without_prefill(self) -> None:
         instance = dispatcher(2)
         chat = call()
-        instance.arrived(chat)
+        instance.record_arrival(chat)
         before_s = instance.busy_s(chat)
         for number in range(2):
             instance.workload.start(f"i-{number:03}", 0, 10_000)
@@ -86,7 +86,7 @@
         for step in range(MIN_SAMPLES):
             for number in range(servers):
                 for _ in range(MIN_TIMES):
-                    instance.paces.observe(
+                    instance.token_times.observe(
                         f"i-{number:03}", 5, 5 * token_s, now
                     )
             instance.tick(now + step * SPLIT_INTERVAL_S)
@@ -106,9 +106,9 @@
         now = time.monotonic()
         there.workload.start("i-000", unread=100, memory=10_000)
         there.workload.start("i-001", unread=100, memory=10_000)
-        there.paces.observe("i-000", 5, 5 * 0.06, now)
-        there.paces.observe("i-001", 5, 5 * 0.004, now)
-        here.hear_loads("there", 1, there.own_loads(now), now)
+        there.token_times.observe("i-000", 5, 5 * 0.06, now)
+        there.token_times.observe("i-001", 5, 5 * 0.004, now)
+        here.apply_load_report("there", 1, there.own_loads(now), now)
         for number in range(8):
             # Rendezvous hashing prefers the first engine for some prefixes.
             parts = (PromptPart(f"start-{number}", 5000), PromptPart("x", 600))
@@ -122,13 +122,13 @@
         # measurement: forwarded between instances, it would never expire.
         here = dispatcher(1)
         here.workload.start("i-000", unread=100, memory=10_000)
-        here.paces.hear("i-000", 0.06, 0.0)
+        here.token_times.hear("i-000", 0.06, 0.0)
         self.assertEqual(here.own_loads(0.1)[0].token_us, 0)
 
     def test_old_reports_are_ignored(self) -> None:
         here = dispatcher(1)
-        here.paces.hear("i-000", 0.06, 0.0)
-        self.assertIsNone(here.paces.token_s("i-000", 10.0))
+        here.token_times.hear("i-000", 0.06, 0.0)
+        self.assertIsNone(here.token_times.token_s("i-000", 10.0))
 
 
 class MigrationTargetTest(unittest.TestCase):
@@ -155,7 +155,7 @@
         # slots and preempt the requests there.
         targets: collections.Counter[str] = collections.Counter()
         for number, instance in enumerate(self.make_instances(14)):
-            reservation = instance.refuge(
+            reservation = instance.reserve_migration_target(
                 call(f"c{number}"), frozenset({"i-000"})
             )
             targets[reservation.placed.server.id] += 1
@@ -171,18 +171,20 @@
             for name in group:
                 for _ in range(40):
                     instance.workload.start(name, unread=0, memory=100)
-            reservation = instance.refuge(
+            reservation = instance.reserve_migration_target(
                 call(f"c{number}"), frozenset({group[0]})
             )
             self.assertIn(reservation.placed.server.id, group[1:])
 
     def test_pending_move_occupies_capacity(self) -> None:
         instance = dispatcher(1)
-        reservation = instance.refuge(call(), frozenset())
+        reservation = instance.reserve_migration_target(call(), frozenset())
         self.assertEqual(instance.workload.load("i-000").running, 1)
         reservation.run.end()
         self.assertEqual(instance.workload.load("i-000").running, 0)
-        self.assertIsNone(instance.refuge(call(), frozenset({"i-000"})))
+        self.assertIsNone(
+            instance.reserve_migration_target(call(), frozenset({"i-000"}))
+        )
 
 
 class BurstOverflowTest(unittest.TestCase):
@@ -277,7 +279,7 @@
         now = time.monotonic()
         for number in range(30):
             name = f"i-{number:03}"
-            instance.paces.observe(name, 5, 0.05, now)
+            instance.token_times.observe(name, 5, 0.05, now)
             for _ in range(40):
                 instance.workload.start(name, unread=2000, memory=12_000)
         queue = WaitingRoom(
@@ -291,7 +293,9 @@
         with (
             unittest.mock.patch.object(time, "monotonic", lambda: now),
             unittest.mock.patch.object(
-                instance.paces, "token_s", wraps=instance.paces.token_s
+                instance.token_times,
+                "token_s",
+                wraps=instance.token_times.token_s,
             ) as token_time_calls,
         ):
             queue.freed(SERVICE)
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -114,14 +114,16 @@
         (before,) = self.followed.registry.servers_of(POOL)
         router_dispatcher.workload.start(before.id, unread=9000, memory=9000)
         router_dispatcher.health(POOL).failed(before.id, time.monotonic())
-        router_dispatcher.paces.observe(before.id, 5, 1.0, time.monotonic())
+        router_dispatcher.token_times.observe(
+            before.id, 5, 1.0, time.monotonic()
+        )
         self.followed.take(row(2, born=START + 900))
         (after,) = self.followed.registry.servers_of(POOL)
         now = time.monotonic()
         self.assertNotEqual(before.id, after.id)
         self.assertEqual(router_dispatcher.workload.load(after.id).running, 0)
         self.assertFalse(router_dispatcher.health(POOL).blocked(after.id, now))
-        self.assertIsNone(router_dispatcher.paces.token_s(after.id, now))
+        self.assertIsNone(router_dispatcher.token_times.token_s(after.id, now))
         self.assertEqual(self.followed.gone, [])
         self.assertEqual(self.followed.left, [before.id])
 
@@ -132,7 +134,9 @@
         self.followed.take(row(1), row(2, born=START + 900))
         (server,) = self.followed.registry.servers_of(POOL)
         load = ServerLoad(f"a@{START}", 9000, 30, 90_000)
-        router_dispatcher.hear_loads("other", 1, [load], time.monotonic())
+        router_dispatcher.apply_load_report(
+            "other", 1, [load], time.monotonic()
+        )
         self.assertEqual(router_dispatcher.workload.load(server.id).running, 0)
 
     def test_late_row_of_the_former_incarnation(self) -> None:
