--- a/src/jasminerelay/asking.py
+++ b/src/jasminerelay/asking.py
@@ -19,6 +19,7 @@
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.errors import NoRoomError
 from jasminerelay.metrics import Counters
+from jasminerelay.placementqueue import PlacementQueue, Reservation
 from jasminerelay.placewords import (
     ELSEWHERE,
     MS,
@@ -40,7 +41,6 @@
     PlaceWord,
     TokenWord,
 )
-from jasminerelay.waitingroom import Seat, WaitingRoom
 from jasminerelay.workload import Run
 
 OWNERS_FROM = 24
@@ -138,7 +138,7 @@
         peers: str,
         registry: Registry,
         dispatcher: Dispatcher,
-        local: WaitingRoom,
+        local: PlacementQueue,
         counters: Counters,
     ):
         """Creates a client that knows no other instance yet.
@@ -194,7 +194,7 @@
             self._owner_seen_at.pop(name, None)
             self._backoff_until.pop(name, None)
 
-    async def enter(self, call: Call, avoid: frozenset[str]) -> Seat:
+    async def enter(self, call: Call, avoid: frozenset[str]) -> Reservation:
         """Waits for a placement.
 
         Raises:
@@ -202,7 +202,7 @@
         """
         pending = self._new_pending(call, avoid)
         if pending is None:
-            return await self._local.enter(call, avoid)
+            return await self._local.reserve_server(call, avoid)
         self._pending[pending.number] = pending
         self._send_update(pending.cell)
         reservation = None
@@ -212,7 +212,7 @@
             del self._pending[pending.number]
             if reservation is None:
                 self._mark_due(pending.cell)
-        return reservation or await self._local.enter(call, avoid)
+        return reservation or await self._local.reserve_server(call, avoid)
 
     def owners(self) -> list[Member]:
         """Returns the other instances that own cells."""
@@ -234,7 +234,7 @@
 
     def freed(self, service: str) -> None:
         """Handles freed capacity at a server of a service."""
-        self._local.freed(service)
+        self._local.capacity_freed(service)
         if self.active:
             self._wake.set()
 
@@ -296,7 +296,9 @@
             self._owners[cell] = self._live.get(name) if name else None
         return self._owners[cell]
 
-    async def _await_placement(self, pending: _PendingRequest) -> Seat | None:
+    async def _await_placement(
+        self, pending: _PendingRequest
+    ) -> Reservation | None:
         """Waits for the owner's decision; None if there will be none."""
         while await self._await_answer(pending):
             answer = pending.answer
@@ -344,7 +346,7 @@
 
     def _reserve(
         self, pending: _PendingRequest, answer: PlaceAnswer
-    ) -> Seat | None:
+    ) -> Reservation | None:
         server = self._registry.server(answer.server)
         if server is None or server.draining or server.id in pending.avoid:
             # The owner's list of servers is older than the local one.
@@ -354,7 +356,7 @@
         placed = Placed(server, answer.unread, answer.memory, False, source)
         run = self._dispatcher.reserve(pending.call, placed, pending.number)
         self._counters.incr("place.placed")
-        return Seat(placed, run, pending.owner.instance)
+        return Reservation(placed, run, pending.owner.instance)
 
     def _mark_unresponsive(self, owner: Member, *asks: _PendingRequest) -> None:
         self._counters.incr("place.owner_silent")
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -31,9 +31,9 @@
 from jasminerelay.httpclient import BrokenError, NotSentError, body_chunks
 from jasminerelay.limitwatch import LimitWatch
 from jasminerelay.metrics import Counters
+from jasminerelay.placementqueue import RequestPlacer, Reservation
 from jasminerelay.sharedbudget import SharedBudget
 from jasminerelay.telemetry import Telemetry
-from jasminerelay.waitingroom import Room, Seat
 
 IDEMPOTENT_TIMEOUT_FACTOR = 2.5
 MIN_IDEMPOTENT_TIMEOUT_S = 0.5
@@ -84,7 +84,7 @@
     """
 
     dispatcher: Dispatcher
-    queue: Room
+    queue: RequestPlacer
     channels: Channels
     dialect: Dialect
     evacuator: Evacuator
@@ -150,7 +150,7 @@
         self._sent_at = 0.0
         self._continues_run = False
 
-    async def run(self, reservation: Seat) -> Outcome:
+    async def run(self, reservation: Reservation) -> Outcome:
         """Sends the request to the reserved server and relays the answer."""
         server = reservation.placed.server
         try:
@@ -171,7 +171,7 @@
                 )
 
     async def _exchange(
-        self, reservation: Seat, channel: Channel, done: "_Completion"
+        self, reservation: Reservation, channel: Channel, done: "_Completion"
     ) -> Outcome:
         server = channel.server
         left_s = self._call.ends - time.monotonic()
@@ -267,7 +267,7 @@
 
     async def _relay_stream(
         self,
-        reservation: Seat,
+        reservation: Reservation,
         channel: Channel,
         response: httpcore.Response,
         head: Head,
@@ -296,7 +296,7 @@
         return outcome
 
     async def _relay_events(
-        self, reservation: Seat, response: httpcore.Response, head: Head
+        self, reservation: Reservation, response: httpcore.Response, head: Head
     ) -> Outcome:
         splitter = sse.EventCutter()
         timer = _StreamTimer(self._kit, self._call, reservation, self._sent_at)
@@ -361,7 +361,7 @@
         return frozenset(self._progress.tried)
 
     async def _move(
-        self, server: BackendServer, reservation: Seat | None
+        self, server: BackendServer, reservation: Reservation | None
     ) -> None:
         if reservation is None:
             return
@@ -425,7 +425,9 @@
 class _StreamTimer:
     """Measures the latencies of one stream."""
 
-    def __init__(self, kit: Kit, call: Call, reservation: Seat, sent_at: float):
+    def __init__(
+        self, kit: Kit, call: Call, reservation: Reservation, sent_at: float
+    ):
         self._kit = kit
         self._call = call
         self._reservation = reservation
@@ -446,7 +448,7 @@
             self.first_at = now
             self._record_prefill(now)
             self._reservation.run.read(now - self._sent_at)
-            self._kit.queue.freed(self._call.service)
+            self._kit.queue.capacity_freed(self._call.service)
         else:
             self._kit.dispatcher.token_times.observe(
                 self._reservation.placed.server.id,
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -17,6 +17,7 @@
 from jasminerelay.groups import DemandMeter, DemandView, ResourceNeed, Split
 from jasminerelay.lengths import Lengths
 from jasminerelay.pace import TokenTimes
+from jasminerelay.placementqueue import Reservation
 from jasminerelay.placing import Guess, Option, Placed, Wait
 from jasminerelay.prefix import CacheView, PrefixIndex, part_hash
 from jasminerelay.registry import Registry
@@ -24,7 +25,6 @@
 from jasminerelay.serverlimits import Allowance
 from jasminerelay.silences import ResponseMonitor
 from jasminerelay.stragglers import Stragglers
-from jasminerelay.waitingroom import Seat
 from jasminerelay.workload import Run, Workload
 
 SPLIT_INTERVAL_S = 0.5
@@ -459,16 +459,16 @@
             engine.cache_tokens,
         )
 
-    def reserve_at(self, call: Call, server: BackendServer) -> Seat:
+    def reserve_at(self, call: Call, server: BackendServer) -> Reservation:
         """Reserves capacity at a server that has the request's KV cache."""
         self._allowance.spend(server.id, time.monotonic())
         memory = call.prompt.tokens + self._output_estimate(call).output
         run = self.workload.start(server.id, 0, memory)
-        return Seat(Placed(server, 0, memory), run)
+        return Reservation(Placed(server, 0, memory), run)
 
     def reserve_migration_target(
         self, call: Call, avoid: frozenset[str]
-    ) -> Seat | None:
+    ) -> Reservation | None:
         """Reserves a server for a stream that must leave a draining server.
 
         All instances learn of a draining server at the same moment and see the
@@ -535,7 +535,7 @@
 
     def reserve_faster_server(
         self, call: Call, server: BackendServer, avoid: frozenset[str]
-    ) -> Seat | None:
+    ) -> Reservation | None:
         """Reserves a faster server for a stream that cannot finish where it is.
 
         Servers of all kinds qualify, because a stream whose prompt is prefilled
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -19,7 +19,7 @@
     Sink,
     Unknown,
 )
-from jasminerelay.waitingroom import Seat
+from jasminerelay.placementqueue import Reservation
 from jasminerelay.workload import Verdict
 
 MAX_UNSENT_RETRIES = 3
@@ -84,14 +84,14 @@
             if not await next_step(outcome, self):
                 return
 
-    async def _reserve(self) -> Seat:
+    async def _reserve(self) -> Reservation:
         copy = self._progress.copy
         if copy is not None:
             return self._kit.dispatcher.reserve_at(self._call, copy.at)
         avoid = frozenset(self._progress.tried)
-        return await self._kit.queue.enter(self._call, avoid)
+        return await self._kit.queue.reserve_server(self._call, avoid)
 
-    async def _attempt_at(self, reservation: Seat) -> Outcome:
+    async def _attempt_at(self, reservation: Reservation) -> Outcome:
         self._placed_at = self._placed_at or time.monotonic()
         self._progress.tried.append(reservation.placed.server.id)
         self._progress.owners.append(reservation.owner)
@@ -103,7 +103,7 @@
             return outcome
         finally:
             reservation.run.end(verdict, self._progress.output)
-            self._kit.queue.freed(self._call.service)
+            self._kit.queue.capacity_freed(self._call.service)
 
     def _verdict(self, outcome: Outcome) -> Verdict | None:
         if isinstance(outcome, Delivered | Failed):
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -10,6 +10,7 @@
 from jasminerelay.lengths import Lengths
 from jasminerelay.metrics import Counters
 from jasminerelay.owning import CellOwner, SendAnswers
+from jasminerelay.placementqueue import PASS_INTERVAL_S
 from jasminerelay.placewords import FOREIGN
 from jasminerelay.prefix import CacheView
 from jasminerelay.registry import Registry
@@ -23,7 +24,6 @@
 )
 from jasminerelay.serverlimits import Allowance
 from jasminerelay.silences import ToldSilences
-from jasminerelay.waitingroom import TICK_S
 
 SCAN_INTERVAL_S = 0.01
 """Minimum interval between scans for placements after a change, while any
@@ -127,12 +127,12 @@
         while True:
             await anyio.sleep(pause_s)
             began = time.monotonic()
-            all_due = began - scanned_all_at >= TICK_S
+            all_due = began - scanned_all_at >= PASS_INTERVAL_S
             scanned_all_at = began if all_due else scanned_all_at
             for cell in list(self._cells.values()):
                 if all_due or cell.changed:
                     cell.changed = False
-                    cell.queue.look()
+                    cell.queue.place_all()
             elapsed_s = time.monotonic() - began
             min_pause_s = (
                 SCAN_INTERVAL_S if self.waiting else IDLE_CHECK_INTERVAL_S
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -14,6 +14,7 @@
 from jasminerelay.catalog import Call
 from jasminerelay.cells import CellServers, QueueView
 from jasminerelay.dispatcher import Dispatcher
+from jasminerelay.placementqueue import PlacementQueue, QueueEntry
 from jasminerelay.placewords import (
     ELSEWHERE,
     FOREIGN,
@@ -36,7 +37,6 @@
     TokenWord,
 )
 from jasminerelay.silences import ToldSilences
-from jasminerelay.waitingroom import Waiter, WaitingRoom
 from jasminerelay.workload import Run
 
 SENDER_TIMEOUT_S = 3.0
@@ -64,7 +64,7 @@
     """
 
     call: Call | None = None
-    queue_entry: Waiter | None = None
+    queue_entry: QueueEntry | None = None
     run: Run | None = None
     answer: PlaceAnswer | None = None
 
@@ -127,7 +127,7 @@
         self._queues = queues
         self._answer = answer
         self._senders: dict[str, _Sender] = {}
-        self.queue = WaitingRoom(
+        self.queue = PlacementQueue(
             dispatcher.place,
             dispatcher.expect,
             dispatcher.busy_s,
@@ -239,16 +239,16 @@
         sender.requests[message.number] = request
         admitted = False
 
-        def settled(queue_entry: Waiter) -> None:
+        def settled(queue_entry: QueueEntry) -> None:
             request.answer = placement_answer(message.number, queue_entry)
             if queue_entry.refused is not None:
                 request.answer = self._redirect(message, call) or request.answer
-            if queue_entry.seat is not None:
-                request.run = queue_entry.seat.run
+            if queue_entry.reservation is not None:
+                request.run = queue_entry.reservation.run
             if admitted:
                 self._send(sender, [request.answer])
 
-        request.queue_entry = self.queue.admit(
+        request.queue_entry = self.queue.enqueue(
             call, frozenset(message.avoid), settled
         )
         admitted = True
@@ -319,9 +319,9 @@
         run.read(first_s)
         self._dispatcher.record_response(run.server, now)
         queue_entry = request.queue_entry
-        if queue_entry is not None and queue_entry.seat is not None:
+        if queue_entry is not None and queue_entry.reservation is not None:
             self._dispatcher.record_first_event(
-                request.call, queue_entry.seat.placed, run.ahead, first_s
+                request.call, queue_entry.reservation.placed, run.ahead, first_s
             )
 
     def _record_ends(
@@ -357,7 +357,7 @@
 
     def _drop(self, request: _Request) -> None:
         if request.queue_entry is not None:
-            self.queue.withdraw(request.queue_entry)
+            self.queue.cancel(request.queue_entry)
         if request.run is not None:
             request.run.end()
 
--- a/src/jasminerelay/waitingroom.py
+++ b/src/jasminerelay/placementqueue.py
@@ -25,13 +25,13 @@
 """Number of attempts that one counts for if it found no server of the kind with
 capacity: the next one would hardly succeed."""
 
-TICK_S = 0.03
+PASS_INTERVAL_S = 0.03
 """Interval of placement passes without any event. Load reports of other
 instances, which can also show free capacity, come about as often."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Seat:
+class Reservation:
     """A server reserved for a request.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Waiter:
+class QueueEntry:
     """One queued request.
 
     Attributes:
@@ -56,7 +56,7 @@
         busy_s: Engine time that it needs.
         first_s: Expected time from its placement to its first event.
         settled: Called once when the request is placed or refused.
-        seat: The reservation, once there is one.
+        reservation: The reservation, once there is one.
         refused: The error, if it was refused.
     """
 
@@ -64,11 +64,11 @@
     avoid: frozenset[str]
     busy_s: float
     first_s: float = 0.0
-    settled: Callable[["Waiter"], None] = lambda entry: None
-    seat: Seat | None = None
+    settled: Callable[["QueueEntry"], None] = lambda entry: None
+    reservation: Reservation | None = None
     refused: NoRoomError | None = None
 
-    def order(self, now: float) -> tuple[int, int, bool, float]:
+    def sort_key(self, now: float) -> tuple[int, int, bool, float]:
         """Returns its sort key in the queue; the lowest is placed first.
 
         First by rank; within a rank by the route's rank; then requests that can
@@ -80,13 +80,15 @@
         return (call.rank, call.route.rank, late, call.arrived)
 
 
-class Room(Protocol):
+class RequestPlacer(Protocol):
     """Interface through which requests are placed, locally or by an owner."""
 
-    async def enter(self, call: Call, avoid: frozenset[str]) -> Seat:
+    async def reserve_server(
+        self, call: Call, avoid: frozenset[str]
+    ) -> Reservation:
         """Reserves a server; raises NoRoomError if none is free in time."""
 
-    def freed(self, service: str) -> None:
+    def capacity_freed(self, service: str) -> None:
         """Notes that a server of a service has free capacity again."""
 
 
@@ -94,7 +96,7 @@
 Expect = Callable[[Call, float], WaitEstimate]
 
 
-class WaitingRoom:
+class PlacementQueue:
     """Places queued requests in order; refuses those that would be late."""
 
     def __init__(
@@ -126,35 +128,37 @@
         self._reserve = reserve
         self._first_event_time = first
         self._frequent_passes = frequent_passes
-        self._queue: list[Waiter] = []
+        self._queue: list[QueueEntry] = []
         self._not_empty = anyio.Event()
 
     def __len__(self) -> int:
         return len(self._queue)
 
-    async def enter(self, call: Call, avoid: frozenset[str]) -> Seat:
+    async def reserve_server(
+        self, call: Call, avoid: frozenset[str]
+    ) -> Reservation:
         """Waits for a server.
 
         Raises:
             NoRoomError: if no server is free in time.
         """
         done = anyio.Event()
-        entry = self.admit(call, avoid, lambda entry: done.set())
+        entry = self.enqueue(call, avoid, lambda entry: done.set())
         try:
             await done.wait()
         except BaseException:
-            self.withdraw(entry)
+            self.cancel(entry)
             raise
         if entry.refused is not None:
             raise entry.refused
-        return entry.seat
+        return entry.reservation
 
-    def admit(
+    def enqueue(
         self,
         call: Call,
         avoid: frozenset[str],
-        settled: Callable[[Waiter], None],
-    ) -> Waiter:
+        settled: Callable[[QueueEntry], None],
+    ) -> QueueEntry:
         """Adds a request to the queue.
 
         Args:
@@ -163,7 +167,7 @@
             settled: Called once, perhaps immediately, when the request is
                 placed or refused.
         """
-        entry = Waiter(
+        entry = QueueEntry(
             call,
             avoid,
             self._busy_time(call),
@@ -180,7 +184,7 @@
             self._not_empty.set()
         return entry
 
-    def withdraw(self, entry: Waiter) -> None:
+    def cancel(self, entry: QueueEntry) -> None:
         """Removes a request that was cancelled or placed elsewhere.
 
         It may have been placed just before. An in-flight request that is never
@@ -188,10 +192,10 @@
         """
         if entry in self._queue:
             self._queue.remove(entry)
-        if entry.seat is not None:
-            entry.seat.run.end()
+        if entry.reservation is not None:
+            entry.reservation.run.end()
 
-    def freed(self, service: str) -> None:
+    def capacity_freed(self, service: str) -> None:
         """Notes that a server of a service has free capacity again."""
         if self._queue:
             self._place_queued(service)
@@ -208,10 +212,10 @@
             if not self._queue:
                 self._not_empty = anyio.Event()
                 await self._not_empty.wait()
-            await anyio.sleep(TICK_S)
-            self.look()
+            await anyio.sleep(PASS_INTERVAL_S)
+            self.place_all()
 
-    def look(self) -> None:
+    def place_all(self) -> None:
         """Runs a placement pass over all queued requests."""
         for service in {item.call.service for item in self._queue}:
             self._place_queued(service)
@@ -219,7 +223,7 @@
     def _place_queued(self, service: str) -> None:
         now = time.monotonic()
         waiting = [x for x in self._queue if x.call.service == service]
-        waiting.sort(key=lambda item: item.order(now))
+        waiting.sort(key=lambda item: item.sort_key(now))
         failed_attempts: collections.Counter[str] = collections.Counter()
         queued_ahead_s: dict[str, float] = {}
         for item in waiting:
@@ -227,7 +231,9 @@
             if failed_attempts[kind] < MAX_FAILED_ATTEMPTS:
                 placed = self._place(item.call, item.avoid)
                 if isinstance(placed, Placed):
-                    reservation = Seat(placed, self._reserve(item.call, placed))
+                    reservation = Reservation(
+                        placed, self._reserve(item.call, placed)
+                    )
                     self._settle(item, reservation=reservation)
                     continue
                 failed_attempts[kind] += FULL_ATTEMPT_COST if placed.full else 1
@@ -240,11 +246,11 @@
 
     def _settle(
         self,
-        item: Waiter,
-        reservation: Seat | None = None,
+        item: QueueEntry,
+        reservation: Reservation | None = None,
         refused: NoRoomError | None = None,
     ) -> None:
-        item.seat = reservation
+        item.reservation = reservation
         item.refused = refused
         self._queue.remove(item)
         item.settled(item)
--- a/src/jasminerelay/placewords.py
+++ b/src/jasminerelay/placewords.py
@@ -5,6 +5,7 @@
 """
 
 from jasminerelay.catalog import Call, Catalog, Prompt, PromptPart
+from jasminerelay.placementqueue import QueueEntry
 from jasminerelay.prefix import part_hash
 from jasminerelay.schema.messages import (
     EndWord,
@@ -12,7 +13,6 @@
     PlaceAsk,
     RunWord,
 )
-from jasminerelay.waitingroom import Waiter
 from jasminerelay.workload import End, Run, Verdict
 
 PLACED = "placed"
@@ -110,7 +110,7 @@
     )
 
 
-def placement_answer(number: int, queue_entry: Waiter) -> PlaceAnswer:
+def placement_answer(number: int, queue_entry: QueueEntry) -> PlaceAnswer:
     """Returns the answer for a request that was placed or refused."""
     if queue_entry.refused is not None:
         return PlaceAnswer(
@@ -119,7 +119,7 @@
             why=queue_entry.refused.message,
             retry_ms=round(MS * (queue_entry.refused.retry_s or 0.0)),
         )
-    placed = queue_entry.seat.placed
+    placed = queue_entry.reservation.placed
     return PlaceAnswer(
         number,
         PLACED,
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -40,6 +40,7 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
 from jasminerelay.peerlink import PeerLink, SnapshotApp
+from jasminerelay.placementqueue import PlacementQueue
 from jasminerelay.platform import bootfile, documents
 from jasminerelay.platform.bootfile import BootSettings
 from jasminerelay.platform.doors import StatusApp
@@ -61,7 +62,6 @@
 from jasminerelay.sharedbudget import SharedBudget
 from jasminerelay.stopping import Stop
 from jasminerelay.telemetry import Telemetry
-from jasminerelay.waitingroom import WaitingRoom
 from jasminerelay.watchdog import Watchdog
 
 BOOT_VARIABLE = "JASMINERELAY_BOOT"
@@ -286,7 +286,7 @@
         self._peers.on_snapshot = self._merge_snapshot
         self._peers.on_store_lost = self._store_state.check
         self._store_state.on_news = self._peers.tell_news
-        self._placement_queue = WaitingRoom(
+        self._placement_queue = PlacementQueue(
             self.dispatcher.place,
             self.dispatcher.expect,
             self.dispatcher.busy_s,
@@ -409,7 +409,7 @@
 
     def _retry_placement(self) -> None:
         """Places queued requests once a server accepts requests again."""
-        self._placement_queue.look()
+        self._placement_queue.place_all()
         self._owned_cells.look_soon()
 
     def _on_server_removed(self, server: str) -> None:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -26,13 +26,13 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
 from jasminerelay.owning import SENDER_TIMEOUT_S
+from jasminerelay.placementqueue import PlacementQueue, Reservation
 from jasminerelay.placewords import FOREIGN, placement_request
 from jasminerelay.placing import KNOWN_UNREAD_S
 from jasminerelay.platform import documents
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import Member, PlaceWord, ServerRow
 from jasminerelay.schema.settings import Statsd
-from jasminerelay.waitingroom import Seat, WaitingRoom
 from tests.test_placing import call
 
 SERVICE = "pool"
@@ -169,7 +169,7 @@
         )
         self.counters = Counters(Statsd())
         self.followers = Followers(name, "z")
-        self.local = WaitingRoom(
+        self.local = PlacementQueue(
             self.dispatcher.place,
             self.dispatcher.expect,
             self.dispatcher.busy_s,
@@ -389,8 +389,8 @@
         # All slots are taken and twenty instances wait. One request ends at
         # one instance; exactly one waiting request gets the free slot.
         site = Site(30, servers=1)
-        reservations: list[Seat] = []
-        waiting: list[Seat] = []
+        reservations: list[Reservation] = []
+        waiting: list[Reservation] = []
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
             for node in nodes:
@@ -428,7 +428,7 @@
         # longer than the repeated prefill takes go to the other cell.
         site = Site(40, servers=16)
         nodes = list(site.nodes.values())
-        reservations: list[Seat] = []
+        reservations: list[Reservation] = []
         async with anyio.create_task_group() as group:
             for node in nodes:
                 group.start_soon(node.asking.run)
@@ -533,7 +533,7 @@
         live = [node.member for node in nodes if node is not site.owner_of(0)]
         for node in nodes[::2]:
             node.asking.saw_instances(100, live)
-        reservations: list[Seat] = []
+        reservations: list[Reservation] = []
         async with anyio.create_task_group() as group:
             for node in nodes:
                 group.start_soon(node.asking.run)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -12,6 +12,11 @@
 from jasminerelay.dispatcher import SPLIT_INTERVAL_S, Dispatcher
 from jasminerelay.enginemodel import MIN_SAMPLES
 from jasminerelay.pace import MIN_TIMES
+from jasminerelay.placementqueue import (
+    MAX_FAILED_ATTEMPTS,
+    PlacementQueue,
+    QueueEntry,
+)
 from jasminerelay.placing import Wait
 from jasminerelay.platform import documents
 from jasminerelay.prefix import CacheView
@@ -22,7 +27,6 @@
     ServerLoad,
     Standing,
 )
-from jasminerelay.waitingroom import MAX_FAILED_ATTEMPTS, Waiter, WaitingRoom
 from tests.test_cells import server_rows
 from tests.test_placing import call, route
 
@@ -282,12 +286,12 @@
             instance.token_times.observe(name, 5, 0.05, now)
             for _ in range(40):
                 instance.workload.start(name, unread=2000, memory=12_000)
-        queue = WaitingRoom(
+        queue = PlacementQueue(
             instance.place, instance.expect, instance.busy_s, instance.reserve
         )
         for number in range(30):
             request = call(f"c{number}", arrived=now, ends=now + 15.0)
-            queue._queue.append(Waiter(request, frozenset(), 0.1))
+            queue._queue.append(QueueEntry(request, frozenset(), 0.1))
         # The clock is fixed: a wait estimate expires after 20 ms, and on a busy
         # machine one pass may take longer.
         with (
@@ -298,7 +302,7 @@
                 wraps=instance.token_times.token_s,
             ) as token_time_calls,
         ):
-            queue.freed(SERVICE)
+            queue.capacity_freed(SERVICE)
         self.assertEqual(len(queue), 30)
         self.assertLess(
             token_time_calls.call_count, 30 * (MAX_FAILED_ATTEMPTS + 2)
--- a/tests/test_ownersmodel.py
+++ b/tests/test_ownersmodel.py
@@ -17,7 +17,7 @@
 from jasminerelay.asking import CHECK_INTERVAL_S
 from jasminerelay.catalog import Call
 from jasminerelay.errors import NoRoomError
-from jasminerelay.waitingroom import Seat
+from jasminerelay.placementqueue import Reservation
 from tests.test_cells import SERVICE, Node, Site, prompts
 
 SEEDS = 6
@@ -39,7 +39,7 @@
 
     call: Call
     node: Node
-    reservation: Seat | None = None
+    reservation: Reservation | None = None
     refused: bool = False
     left: bool = False
     ended: bool = False
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -6,8 +6,8 @@
 import anyio
 
 from jasminerelay import asking, cells, peerwords
+from jasminerelay.placementqueue import Reservation
 from jasminerelay.schema.messages import OwnerWord
-from jasminerelay.waitingroom import Seat
 from tests.test_cells import SERVICE, Node, Site, prompts
 
 DELIVERY_WAIT_S = 0.2
@@ -29,7 +29,7 @@
             node.owned.answer = lambda _, message, node=node: (
                 self.answers_sent.append((node, message))
             )
-        self.reservations: list[Seat] = []
+        self.reservations: list[Reservation] = []
 
     async def reserve(self) -> None:
         """Requests a placement for one request."""
--- a/tests/test_waitingroom.py
+++ b/tests/test_waitingroom.py
@@ -11,8 +11,8 @@
     Call,
 )
 from jasminerelay.errors import NoRoomError
+from jasminerelay.placementqueue import PlacementQueue, QueueEntry
 from jasminerelay.placing import Placed, Wait
-from jasminerelay.waitingroom import Waiter, WaitingRoom
 from jasminerelay.workload import (
     Workload,
 )
@@ -22,7 +22,7 @@
 class QueueTest(unittest.IsolatedAsyncioTestCase):
     """The queue of one instance."""
 
-    def queue(self, free: list[str], too_late: bool = False) -> WaitingRoom:
+    def queue(self, free: list[str], too_late: bool = False) -> PlacementQueue:
         workload = Workload()
 
         def find(item: Call, avoid: frozenset[str]):
@@ -31,7 +31,7 @@
             )
 
         self.workload = workload
-        return WaitingRoom(
+        return PlacementQueue(
             find,
             lambda item, ahead: WaitEstimate(
                 99.0 if too_late else 0.0, 0.0, 1.0
@@ -50,7 +50,7 @@
         order: list[str] = []
 
         async def enter(item: Call) -> None:
-            await queue.enter(item, frozenset())
+            await queue.reserve_server(item, frozenset())
             order.append(item.id)
 
         waiting = [
@@ -64,22 +64,22 @@
                 await anyio.sleep(0)
             for _ in waiting:
                 free.append("a")
-                queue.freed("pool")
+                queue.capacity_freed("pool")
                 await anyio.sleep(0)
                 await anyio.sleep(0)
         self.assertEqual(order, ["high", "low", "late"])
 
     def test_equal_organisations_are_ordered_by_route(self) -> None:
         queue = [
-            Waiter(call("study", 0.0, rank=1), frozenset(), 0.1),
-            Waiter(
+            QueueEntry(call("study", 0.0, rank=1), frozenset(), 0.1),
+            QueueEntry(
                 call("chat", 1.0, rank=1, route=route(rank=0)),
                 frozenset(),
                 0.1,
             ),
-            Waiter(call("first", 2.0, rank=0), frozenset(), 0.1),
+            QueueEntry(call("first", 2.0, rank=0), frozenset(), 0.1),
         ]
-        queue.sort(key=lambda item: item.order(2.0))
+        queue.sort(key=lambda item: item.sort_key(2.0))
         order = [item.call.id for item in queue]
         self.assertEqual(order, ["first", "chat", "study"])
 
@@ -88,16 +88,16 @@
         # to prefill than the time left to its objective: it would be late
         # anyway, and so would the request that has just come.
         queue = [
-            Waiter(call("old", 0.0), frozenset(), 0.1, first_s=0.4),
-            Waiter(call("new", 1.5), frozenset(), 0.1, first_s=0.4),
+            QueueEntry(call("old", 0.0), frozenset(), 0.1, first_s=0.4),
+            QueueEntry(call("new", 1.5), frozenset(), 0.1, first_s=0.4),
         ]
-        queue.sort(key=lambda item: item.order(1.7))
+        queue.sort(key=lambda item: item.sort_key(1.7))
         self.assertEqual([item.call.id for item in queue], ["new", "old"])
 
     async def test_late_request_is_refused_at_once(self) -> None:
         queue = self.queue([], too_late=True)
         with self.assertRaises(NoRoomError) as caught:
-            await queue.enter(call(), frozenset())
+            await queue.reserve_server(call(), frozenset())
         self.assertGreater(caught.exception.retry_s, 0)
 
     async def test_disconnect_releases_capacity(self) -> None:
@@ -108,7 +108,7 @@
         queue = self.queue(free)
 
         async def serve() -> None:
-            reservation = await queue.enter(call(), frozenset())
+            reservation = await queue.reserve_server(call(), frozenset())
             try:
                 await anyio.sleep_forever()
             finally:
@@ -118,7 +118,7 @@
             group.start_soon(serve)
             await anyio.sleep(0)
             free.append("a")
-            queue.freed("pool")
+            queue.capacity_freed("pool")
             group.cancel_scope.cancel()
         self.assertEqual(self.workload.load("a").running, 0)
         self.assertEqual(len(queue), 0)
