--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -19,7 +19,6 @@
 import msgspec
 
 from jasminerelay import peerwords
-from jasminerelay.asking import AskingRoom
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.eventlog import EventLog
 from jasminerelay.followers import Followers
@@ -33,6 +32,7 @@
 from jasminerelay.membership import ALIVE, LEAVING, Membership, Send
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
+from jasminerelay.placementclient import PlacementClient
 from jasminerelay.registry import Registry, Touch
 from jasminerelay.schema.messages import (
     CrashWord,
@@ -136,7 +136,7 @@
             MAX_OUTGOING
         )
         self._owned: OwnedCells | None = None
-        self._asking: AskingRoom | None = None
+        self._asking: PlacementClient | None = None
         self._followers: Followers | None = None
         self.on_snapshot: Callable[[Snapshot, str], None] = lambda *_: None
         self.on_store_lost: Callable[[], None] = lambda: None
@@ -167,7 +167,7 @@
         self._send_all(self.membership.leave())
 
     def wire_cells(
-        self, owned: OwnedCells, asking: AskingRoom, followers: Followers
+        self, owned: OwnedCells, asking: PlacementClient, followers: Followers
     ) -> None:
         """Connects the components for cells and for following the store.
 
@@ -196,7 +196,7 @@
 
     def _send_answer(self, address: str, message: OwnerWord) -> None:
         if address == self.membership.own.peers:
-            self._asking.hear(message)
+            self._asking.handle_message(message)
         else:
             self._send_to(address, peerwords.encode(message))
 
@@ -285,7 +285,7 @@
         ]
         chosen = self._rng.sample(peers, min(LOAD_FANOUT, len(peers)))
         if self._uses_owners:
-            owners = self._asking.owners()
+            owners = self._asking.other_owners()
             count = min(OWNER_FANOUT, len(owners))
             chosen = self._rng.sample(owners, count) + chosen[count:]
         message = dataclasses.replace(
@@ -364,7 +364,7 @@
 
     @_dispatch.register
     def _(self, message: OwnerWord) -> None:
-        self._asking.hear(message)
+        self._asking.handle_message(message)
 
     @_dispatch.register
     def _(self, message: CrashWord) -> None:
--- a/src/jasminerelay/asking.py
+++ b/src/jasminerelay/placementclient.py
@@ -43,7 +43,7 @@
 )
 from jasminerelay.workload import Run
 
-OWNERS_FROM = 24
+MIN_INSTANCES_FOR_OWNERS = 24
 """Number of instances from which cell owners place requests. Fewer instances
 receive all loads in time, and owners would only add a message per request."""
 
@@ -126,7 +126,7 @@
     repeats: int = 0
 
 
-class AskingRoom:
+class PlacementClient:
     """Places requests through the cells' owners.
 
     Has the interface of the local queue, which it uses where no owner decides.
@@ -174,7 +174,7 @@
     def __len__(self) -> int:
         return len(self._pending) + len(self._local)
 
-    def saw_instances(self, known: int, live: Sequence[Member]) -> None:
+    def update_instances(self, known: int, live: Sequence[Member]) -> None:
         """Sets the current instances.
 
         Args:
@@ -182,7 +182,7 @@
                 site which loses half of its instances keeps using owners.
             live: Instances that accept requests.
         """
-        self.active = known >= OWNERS_FROM
+        self.active = known >= MIN_INSTANCES_FOR_OWNERS
         members = {member.instance: member for member in live}
         if members.keys() == self._live.keys():
             return
@@ -194,7 +194,9 @@
             self._owner_seen_at.pop(name, None)
             self._backoff_until.pop(name, None)
 
-    async def enter(self, call: Call, avoid: frozenset[str]) -> Reservation:
+    async def reserve_server(
+        self, call: Call, avoid: frozenset[str]
+    ) -> Reservation:
         """Waits for a placement.
 
         Raises:
@@ -214,7 +216,7 @@
                 self._mark_due(pending.cell)
         return reservation or await self._local.reserve_server(call, avoid)
 
-    def owners(self) -> list[Member]:
+    def other_owners(self) -> list[Member]:
         """Returns the other instances that own cells."""
         found = {}
         for cell in list(self._owners):
@@ -223,7 +225,7 @@
                 found[owner.instance] = owner
         return list(found.values())
 
-    def placer_of(self, server: str) -> str | None:
+    def owner_of_server(self, server: str) -> str | None:
         """Returns the id of the instance that places requests at a server.
 
         None if each instance places its own requests there.
@@ -232,13 +234,13 @@
         owner = self._owner(cell) if cell is not None else None
         return owner.instance if owner is not None else None
 
-    def freed(self, service: str) -> None:
+    def capacity_freed(self, service: str) -> None:
         """Handles freed capacity at a server of a service."""
         self._local.capacity_freed(service)
         if self.active:
             self._wake.set()
 
-    def hear(self, message: OwnerWord) -> None:
+    def handle_message(self, message: OwnerWord) -> None:
         """Processes answers from an owner."""
         self._owner_seen_at[message.sender] = time.monotonic()
         self._backoff_until.pop(message.sender, None)
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -13,7 +13,6 @@
 import anyio
 
 from jasminerelay import entrylist, headbound, ports, stopsignals
-from jasminerelay.asking import AskingRoom
 from jasminerelay.attempt import Kit
 from jasminerelay.catalog import Bounds, Catalog
 from jasminerelay.channels import Channels
@@ -40,6 +39,7 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
 from jasminerelay.peerlink import PeerLink, SnapshotApp
+from jasminerelay.placementclient import PlacementClient
 from jasminerelay.placementqueue import PlacementQueue
 from jasminerelay.platform import bootfile, documents
 from jasminerelay.platform.bootfile import BootSettings
@@ -299,7 +299,7 @@
         self._crashes.members = self._peers.membership.live
         self._crashes.send = self._peers.tell
         self._peers.on_crashes = self._crashes.hear
-        self._rate_limits.placer = self._placement_client.placer_of
+        self._rate_limits.placer = self._placement_client.owner_of_server
         self._rate_limits.send = self._peers.tell
         self._rate_limits.on_grant = self._retry_placement
         self._peers.on_limits = self._rate_limits.hear
@@ -319,7 +319,7 @@
             self.counters,
             self._rate_limits.allowance,
         )
-        self._placement_client = AskingRoom(
+        self._placement_client = PlacementClient(
             member_id,
             boot.peers,
             self.registry,
@@ -520,7 +520,7 @@
 
     def _update_instances(self) -> None:
         live = self._peers.membership.live()
-        self._placement_client.saw_instances(self._peers.known, live)
+        self._placement_client.update_instances(self._peers.known, live)
         self._follower_role.saw_instances(
             live,
             shared=self._placement_client.active,
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -305,7 +305,7 @@
             group.start_soon(node.watch.run)
             group.start_soon(self._start_requests, node)
             while True:
-                node.watch.saw_instances(self.members(node))
+                node.watch.update_instances(self.members(node))
                 await anyio.sleep(0.1)
 
     def holders(self) -> list[Node]:
--- a/tests/instanceworld.py
+++ b/tests/instanceworld.py
@@ -188,4 +188,4 @@
         await anyio.sleep(self.rng.uniform(0.001, self.most_delay_s))
         target = next((x for x in self.nodes if x.name == name), None)
         if target is not None and target.alive and target.cut == node.cut:
-            target.watch.hear(message)
+            target.watch.handle_message(message)
--- a/tests/limitworld.py
+++ b/tests/limitworld.py
@@ -111,7 +111,7 @@
             now = anyio.current_time()
             for node in self.alive:
                 known = self._known_count(node)
-                node.watch.saw_instances(self.members(node), known, now)
+                node.watch.update_instances(self.members(node), known, now)
             await anyio.sleep(MEMBERSHIP_INTERVAL_S)
 
     def _known_count(self, node: Node) -> int:
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -682,7 +682,7 @@
     ),
     Safeguard(
         "updates without requests are repeated to owners",
-        "asking",
+        "placementclient",
         "repeats = EMPTY_UPDATE_REPEATS if held else previous.repeats - 1",
         "repeats = 0 if held else -1",
         "test_ownersmodel.OwnersModelTest.test_seeds",
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -10,13 +10,7 @@
 import anyio
 import msgspec
 
-from jasminerelay import asking, cells, peerwords
-from jasminerelay.asking import (
-    ANSWER_TIMEOUT_S,
-    BATCH_S,
-    CHECK_INTERVAL_S,
-    AskingRoom,
-)
+from jasminerelay import cells, peerwords, placementclient
 from jasminerelay.catalog import Call, Prompt, PromptPart
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.enginemodel import RUN_SHARE
@@ -26,6 +20,12 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
 from jasminerelay.owning import SENDER_TIMEOUT_S
+from jasminerelay.placementclient import (
+    ANSWER_TIMEOUT_S,
+    BATCH_S,
+    CHECK_INTERVAL_S,
+    PlacementClient,
+)
 from jasminerelay.placementqueue import PlacementQueue, Reservation
 from jasminerelay.placewords import FOREIGN, placement_request
 from jasminerelay.placing import KNOWN_UNREAD_S
@@ -119,7 +119,7 @@
         """Gives all instances the current list of live ones."""
         live = self.live()
         for node in self.nodes.values():
-            node.asking.saw_instances(100, live)
+            node.asking.update_instances(100, live)
             node.followers.saw_instances(live, shared=True)
 
     async def publish_queues(self) -> None:
@@ -183,7 +183,7 @@
             self.dispatcher.lengths,
             self.counters,
         )
-        self.asking = AskingRoom(
+        self.asking = PlacementClient(
             name,
             self.member.peers,
             node_registry,
@@ -213,7 +213,7 @@
         if dropped or self.site.lose():
             return
         data = peerwords.encode(message)
-        self.site.nodes[to].asking.hear(peerwords.decode(data))
+        self.site.nodes[to].asking.handle_message(peerwords.decode(data))
 
 
 def prompts(count: int, starts: int = 1000) -> Iterator[Call]:
@@ -251,9 +251,11 @@
                     ends=time.monotonic() + 4.0,
                     prompt=None,
                 )
-                reservation = await node.asking.enter(item, frozenset())
+                reservation = await node.asking.reserve_server(
+                    item, frozenset()
+                )
                 used.add(reservation.placed.server.id)
-            self.assertIsNone(node.asking.placer_of("i-000"))
+            self.assertIsNone(node.asking.owner_of_server("i-000"))
         self.assertEqual(asked, [])
         self.assertEqual(len(used), 3)
 
@@ -398,9 +400,11 @@
                 group.start_soon(node.owned.run)
             for item in prompts(28, 1):
                 with anyio.move_on_after(1.0):
-                    reservation = await nodes[0].asking.enter(item, frozenset())
+                    reservation = await nodes[0].asking.reserve_server(
+                        item, frozenset()
+                    )
                     reservation.run.read(0.1)
-                    nodes[0].asking.freed(SERVICE)
+                    nodes[0].asking.capacity_freed(SERVICE)
                     reservations.append(reservation)
                 await anyio.sleep(BATCH_S * 2)
             for node, item in zip(nodes[1:21], prompts(20, 1), strict=True):
@@ -408,7 +412,7 @@
             await anyio.sleep(CHECK_INTERVAL_S)
             before = len(waiting)
             reservations[0].run.end()
-            nodes[0].asking.freed(SERVICE)
+            nodes[0].asking.capacity_freed(SERVICE)
             await _until(lambda: len(waiting) > before)
             await anyio.sleep(CHECK_INTERVAL_S)
             after = len(waiting)
@@ -489,11 +493,11 @@
         items = list(prompts(3))
         elapsed_s = []
         self.enterContext(
-            unittest.mock.patch.object(asking, "OWNER_BACKOFF_S", 60.0)
+            unittest.mock.patch.object(placementclient, "OWNER_BACKOFF_S", 60.0)
         )
         for item in items:
             since = time.monotonic()
-            await node.asking.enter(item, frozenset())
+            await node.asking.reserve_server(item, frozenset())
             elapsed_s.append(time.monotonic() - since)
         self.assertGreaterEqual(elapsed_s[0], ANSWER_TIMEOUT_S)
         self.assertEqual(node.counters.snapshot()["place.owner_silent"], 1)
@@ -510,7 +514,7 @@
                 group.start_soon(node.asking.run)
                 group.start_soon(node.owned.run)
             for node, item in zip(nodes, prompts(4), strict=False):
-                await node.asking.enter(item, frozenset())
+                await node.asking.reserve_server(item, frozenset())
             owner = site.owner_of(0)
             site.crashed.add(owner.name)
             owner.counted_live = False
@@ -532,7 +536,7 @@
         nodes = list(site.nodes.values())
         live = [node.member for node in nodes if node is not site.owner_of(0)]
         for node in nodes[::2]:
-            node.asking.saw_instances(100, live)
+            node.asking.update_instances(100, live)
         reservations: list[Reservation] = []
         async with anyio.create_task_group() as group:
             for node in nodes:
@@ -566,7 +570,7 @@
         site.answers_lost.add("n00")
         async with anyio.create_task_group() as group:
             group.start_soon(node.asking.run)
-            await node.asking.enter(next(prompts(1)), frozenset())
+            await node.asking.reserve_server(next(prompts(1)), frozenset())
             owned = site.owner_of(0).owned
             await _until(lambda: _in_flight(owned) == 1)
             await anyio.sleep(2 * CHECK_INTERVAL_S)
@@ -578,7 +582,7 @@
         # close. The owner drops these requests after the time that this takes.
         site = Site(30, servers=4)
         node = site.nodes["n01"]
-        await node.asking.enter(next(prompts(1)), frozenset())
+        await node.asking.reserve_server(next(prompts(1)), frozenset())
         owned = site.owner_of(0).owned
         owned.tick(time.monotonic())
         self.assertEqual(_in_flight(owned), 1)
@@ -595,7 +599,7 @@
             group.start_soon(node.owned.run)
             for item in prompts(6):
                 with anyio.move_on_after(0.01):
-                    await node.asking.enter(item, frozenset())
+                    await node.asking.reserve_server(item, frozenset())
             await _until(lambda: site.owner_of(0).owned.waiting == 0)
             group.cancel_scope.cancel()
 
@@ -604,12 +608,12 @@
         # refusal with a Retry-After time at once, as the request has not run.
         site = Site(30, servers=1)
         node = site.nodes["n03"]
-        await node.asking.enter(next(prompts(1)), frozenset())
+        await node.asking.reserve_server(next(prompts(1)), frozenset())
         now = time.monotonic()
         brief = next(prompts(1))
         brief = call("h", arrived=now, ends=now + 0.1, prompt=brief.prompt)
         with self.assertRaises(NoRoomError) as caught:
-            await node.asking.enter(brief, frozenset())
+            await node.asking.reserve_server(brief, frozenset())
         self.assertIsNotNone(caught.exception.retry_s)
 
 
@@ -620,7 +624,7 @@
     place requests themselves, which these tests are not about.
     """
     case.enterContext(
-        unittest.mock.patch.object(asking, "ANSWER_TIMEOUT_S", 30.0)
+        unittest.mock.patch.object(placementclient, "ANSWER_TIMEOUT_S", 30.0)
     )
 
 
@@ -638,7 +642,7 @@
 async def _reserve(
     node: Node, item: Call, reservations: list | None = None
 ) -> None:
-    reservation = await node.asking.enter(item, frozenset())
+    reservation = await node.asking.reserve_server(item, frozenset())
     if reservations is not None:
         reservations.append(reservation)
 
--- a/tests/test_namedlimits.py
+++ b/tests/test_namedlimits.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from jasminerelay import asking
+from jasminerelay import placementclient
 from standins.platformsite import SiteOptions
 from tests.platformcase import PlatformCase
 
@@ -102,7 +102,9 @@
 
     async def test_limit_holds_for_cell_owners(self) -> None:
         # Guards against requests that a cell owner places without a grant.
-        self.enterContext(unittest.mock.patch.object(asking, "OWNERS_FROM", 2))
+        self.enterContext(
+            unittest.mock.patch.object(placementclient, "OWNERS_FROM", 2)
+        )
         await self.test_limit_holds_over_all_instances()
 
     async def test_limit_that_ends(self) -> None:
--- a/tests/test_ownersmodel.py
+++ b/tests/test_ownersmodel.py
@@ -14,9 +14,9 @@
 import anyio
 
 from jasminerelay import cells, owning
-from jasminerelay.asking import CHECK_INTERVAL_S
 from jasminerelay.catalog import Call
 from jasminerelay.errors import NoRoomError
+from jasminerelay.placementclient import CHECK_INTERVAL_S
 from jasminerelay.placementqueue import Reservation
 from tests.test_cells import SERVICE, Node, Site, prompts
 
@@ -100,7 +100,7 @@
             # Only some instances get the new list of live instances.
             for node in self._site.nodes.values():
                 if self._rng.random() < 0.5:
-                    node.asking.saw_instances(100, self._site.live())
+                    node.asking.update_instances(100, self._site.live())
         elif event < 0.2:
             self._site.answers_lost ^= {
                 self._rng.choice(self._live_nodes()).name
@@ -122,17 +122,17 @@
         if run.first_s is None:
             if self._rng.random() < 0.4:
                 run.read(0.05)
-                request.node.asking.freed(SERVICE)
+                request.node.asking.capacity_freed(SERVICE)
         elif self._rng.random() < 0.2:
             run.end()
             request.ended = True
-            request.node.asking.freed(SERVICE)
+            request.node.asking.capacity_freed(SERVICE)
 
     async def _run_request(self, request: _Request) -> None:
         timeout_s = self._rng.choice((0.05, 60.0))
         with anyio.move_on_after(timeout_s) as scope:
             with contextlib.suppress(NoRoomError):
-                request.reservation = await request.node.asking.enter(
+                request.reservation = await request.node.asking.reserve_server(
                     request.call, frozenset()
                 )
             request.refused = request.reservation is None
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from jasminerelay import asking, cells, peerwords
+from jasminerelay import cells, peerwords, placementclient
 from jasminerelay.placementqueue import Reservation
 from jasminerelay.schema.messages import OwnerWord
 from tests.test_cells import SERVICE, Node, Site, prompts
@@ -33,7 +33,7 @@
 
     async def reserve(self) -> None:
         """Requests a placement for one request."""
-        reservation = await self.node.asking.enter(
+        reservation = await self.node.asking.reserve_server(
             next(prompts(1)), frozenset()
         )
         self.reservations.append(reservation)
@@ -43,7 +43,7 @@
         for _ in range(times):
             for _, message in list(answers_sent):
                 data = peerwords.encode(message)
-                self.node.asking.hear(peerwords.decode(data))
+                self.node.asking.handle_message(peerwords.decode(data))
                 await anyio.sleep(0)
 
     def assert_one_run(self) -> None:
@@ -83,7 +83,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.asking.run)
             group.start_soon(self.reserve)
-            await anyio.sleep(3 * asking.WAITING_UPDATE_INTERVAL_S)
+            await anyio.sleep(3 * placementclient.WAITING_UPDATE_INTERVAL_S)
             await self.deliver(self.answers_sent)
             await anyio.sleep(DELIVERY_WAIT_S)
             group.cancel_scope.cancel()
@@ -106,7 +106,7 @@
             await anyio.sleep(DELIVERY_WAIT_S)
             former.counted_live = False
             self.site.publish_membership()
-            await anyio.sleep(3 * asking.WAITING_UPDATE_INTERVAL_S)
+            await anyio.sleep(3 * placementclient.WAITING_UPDATE_INTERVAL_S)
             await self.deliver(self.answers_sent, times=2)
             await anyio.sleep(DELIVERY_WAIT_S)
             await self.deliver(reversed(self.answers_sent))
@@ -121,7 +121,9 @@
     def hold_answers(self) -> None:
         """Disables the timeout for answers, which are held back."""
         self.enterContext(
-            unittest.mock.patch.object(asking, "ANSWER_TIMEOUT_S", 30.0)
+            unittest.mock.patch.object(
+                placementclient, "ANSWER_TIMEOUT_S", 30.0
+            )
         )
 
     def cell(self) -> int:
