--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -17,7 +17,7 @@
 from jasminerelay import peerwords, placing
 from jasminerelay.catalog import BackendServer, Engine
 from jasminerelay.enginemodel import Speeds
-from jasminerelay.groups import DemandView, Split
+from jasminerelay.groups import ServerSplit, TotalDemand
 from jasminerelay.placing import Guess, Option
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
@@ -66,14 +66,14 @@
     """Returns an operation that handles one message of another instance."""
     data = peerwords.encode(make_message(servers))
     workload = Workload()
-    view = DemandView()
+    view = TotalDemand()
     sequence_numbers = iter(range(1, 1 << 30))
 
     def part() -> None:
         message = peerwords.decode(data)
         loads = peerwords.load_rows(message.loads)
         workload.hear("edge-1", next(sequence_numbers), loads, 1.0)
-        view.hear("edge-1", peerwords.demand_rows(message.demand), 1.0)
+        view.update("edge-1", peerwords.demand_rows(message.demand), 1.0)
 
     return part
 
@@ -99,7 +99,7 @@
     """Returns an operation that updates the split of one service's servers."""
     names = [f"i-{n:010x}" for n in range(servers)]
     demand = [KindDemand(f"r-{n}", 0.5 + n, 900.0, n) for n in range(5)]
-    held = Split()
+    held = ServerSplit()
     return lambda: held.update(names, demand)
 
 
--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -31,7 +31,7 @@
     "Sample": "burn",
     "SharedBudget": "sharedbudget",
     "Signer": "resume",
-    "Split": "groups",
+    "ServerSplit": "groups",
     "Spread": "spread",
     "State": "outcome",
     "Stragglers": "stragglers",
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -14,7 +14,12 @@
     PromptPart,
 )
 from jasminerelay.enginemodel import EngineModels, Speeds
-from jasminerelay.groups import DemandMeter, DemandView, ResourceNeed, Split
+from jasminerelay.groups import (
+    DemandMeter,
+    ResourceNeed,
+    ServerSplit,
+    TotalDemand,
+)
 from jasminerelay.lengths import Lengths
 from jasminerelay.pace import TokenTimes
 from jasminerelay.placementqueue import Reservation
@@ -130,8 +135,8 @@
         self._instances = instances
         self.workload = Workload()
         self.demand_meter = DemandMeter()
-        self.demand = DemandView()
-        self._splits: dict[str, Split] = {}
+        self.demand = TotalDemand()
+        self._splits: dict[str, ServerSplit] = {}
         self._kinds: dict[str, list[KindDemand]] = {}
         self._splits_updated_at = float("-inf")
         self._health: dict[str, Stragglers] = {}
@@ -710,7 +715,7 @@
         )
 
     def _update_splits(self, now: float) -> None:
-        self.demand.hear("", self.own_demand(), now)
+        self.demand.update("", self.own_demand(), now)
         catalog = self._registry.catalog
         for name in catalog.services if catalog else ():
             there = self._registry.servers_of(name)
@@ -722,7 +727,7 @@
                 self._record_steps(name, servers, now)
             demand = self.demand.total(name, now)
             self._kinds[name] = demand
-            split = self._splits.setdefault(name, Split())
+            split = self._splits.setdefault(name, ServerSplit())
             if split.update(servers, demand):
                 self.on_split_change(name, split.groups, demand)
 
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -18,7 +18,7 @@
 from jasminerelay.errors import StoreError
 from jasminerelay.eventlog import EventLog
 from jasminerelay.freshness import now_s
-from jasminerelay.groups import DemandView
+from jasminerelay.groups import TotalDemand
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.metrics import Counters
 from jasminerelay.registry import Registry, Touch
@@ -124,7 +124,7 @@
         self._registry = registry
         self._counters = counters
         self._log = log
-        self._demand = DemandView()
+        self._demand = TotalDemand()
         self._received_at: dict[str, float] = {}
         self._skews: dict[str, float] = {}
         self._coordinators: list[Member] = []
@@ -207,7 +207,7 @@
         demand = peerwords.demand_rows(message.demand)
         if demand:
             # The holder's heartbeats have none.
-            self._demand.hear(message.sender, demand, time.monotonic())
+            self._demand.update(message.sender, demand, time.monotonic())
 
     def work(self, service: str) -> float | None:
         """Returns how many servers a service's requests occupy.
--- a/src/jasminerelay/groups.py
+++ b/src/jasminerelay/groups.py
@@ -149,13 +149,13 @@
         return [item for item in found if item.work > MIN_WORK / 10]
 
 
-class DemandView:
+class TotalDemand:
     """Total demand over all instances."""
 
     def __init__(self) -> None:
         self._reports: dict[str, tuple[float, list[KindDemand]]] = {}
 
-    def hear(
+    def update(
         self, instance: str, demand: Iterable[KindDemand], now: float
     ) -> None:
         """Replaces the demand report of one instance."""
@@ -186,7 +186,7 @@
         ]
 
 
-class Split:
+class ServerSplit:
     """The present split of one service's servers; changes slowly."""
 
     def __init__(self) -> None:
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -394,7 +394,7 @@
             message.sender, message.number, loads, now
         )
         demand = peerwords.demand_rows(message.demand)
-        self._dispatcher.demand.hear(message.sender, demand, now)
+        self._dispatcher.demand.update(message.sender, demand, now)
         self._dispatcher.engine_models.hear(message.samples, now)
         if self._owned is not None:
             self._owned.queues.hear(message.queues, now)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -147,7 +147,7 @@
         ]
         now = time.monotonic()
         for instance in instances:
-            instance.demand.hear("other", demand, now)
+            instance.demand.update("other", demand, now)
             instance.tick(now)
         return instances
 
@@ -200,7 +200,7 @@
         # were still started on their own servers.
         instance = dispatcher(7)
         now = time.monotonic()
-        instance.demand.hear("other", KindOverflowTest.KINDS, now)
+        instance.demand.update("other", KindOverflowTest.KINDS, now)
         instance.tick(now)
         split = instance._splits[SERVICE]
         for name in split.group("chat"):
@@ -232,7 +232,7 @@
         self.instance = dispatcher(7)
         self.instance._caches = CacheView()
         now = time.monotonic()
-        self.instance.demand.hear("other", self.KINDS, now)
+        self.instance.demand.update("other", self.KINDS, now)
         self.instance.tick(now)
 
     def place_request(self, kind: str, rank: int):
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -2,7 +2,12 @@
 
 import unittest
 
-from jasminerelay.groups import DemandMeter, DemandView, ResourceNeed, Split
+from jasminerelay.groups import (
+    DemandMeter,
+    ResourceNeed,
+    ServerSplit,
+    TotalDemand,
+)
 from jasminerelay.schema.messages import KindDemand
 
 SERVERS = tuple(f"s{number}" for number in range(6))
@@ -20,12 +25,12 @@
 class SplitTest(unittest.TestCase):
     """The split of one service's servers."""
 
-    def sizes(self, split: Split) -> tuple[int, ...]:
+    def sizes(self, split: ServerSplit) -> tuple[int, ...]:
         return tuple(len(split.group(k)) for k in ("long", "mid", "short"))
 
     def test_kinds_are_separated(self) -> None:
         # Prefill of a long prompt would lengthen the pauses of short streams.
-        split = Split()
+        split = ServerSplit()
         split.update(SERVERS, kinds(2.0, 0.4, 0.6))
         groups = [set(split.group(k)) for k in ("long", "mid", "short")]
         self.assertEqual(set.union(*groups), set(SERVERS))
@@ -35,7 +40,7 @@
     def test_burst_of_the_highest_rank(self) -> None:
         # More work than servers: the first rank gets more than its share of the
         # work, and the lowest keeps most of its share.
-        split = Split()
+        split = ServerSplit()
         split.update(SERVERS, kinds(6.0, 0.6, 3.4))
         long, mid, short = self.sizes(split)
         self.assertGreaterEqual(short, 2)
@@ -43,7 +48,7 @@
         self.assertEqual(mid, 1)
 
     def test_small_fluctuations_change_nothing(self) -> None:
-        split = Split()
+        split = ServerSplit()
         split.update(SERVERS, kinds(2.0, 0.4, 0.6))
         before = dict(split.groups)
         for factor in (0.9, 1.1, 0.95, 1.05):
@@ -53,7 +58,7 @@
         self.assertEqual(split.groups, before)
 
     def test_added_server_changes_few_groups(self) -> None:
-        split = Split()
+        split = ServerSplit()
         split.update(SERVERS, kinds(2.0, 0.4, 0.6))
         before = set(split.group("long"))
         split.update((*SERVERS, "s9"), kinds(2.0, 0.4, 0.6))
@@ -62,13 +67,13 @@
 
     def test_fewer_servers_than_kinds(self) -> None:
         for count in (1, 2):
-            split = Split()
+            split = ServerSplit()
             split.update(SERVERS[:count], kinds(2.0, 0.4, 0.6))
             for kind in ("long", "mid", "short"):
                 self.assertTrue(split.group(kind), (count, kind))
 
     def test_no_servers_and_no_demand(self) -> None:
-        split = Split()
+        split = ServerSplit()
         split.update((), kinds(1.0, 1.0, 1.0))
         self.assertEqual(split.group("long"), ())
         split.update(SERVERS, [])
@@ -77,7 +82,7 @@
     def test_same_reports_same_split(self) -> None:
         # Instances do not coordinate; the same reports must give the same
         # split, in whatever order they came.
-        one, other = Split(), Split()
+        one, other = ServerSplit(), ServerSplit()
         one.update(SERVERS, kinds(3.0, 0.5, 1.5))
         other.update(SERVERS[::-1], kinds(3.0, 0.5, 1.5)[::-1])
         self.assertEqual(one.groups, other.groups)
@@ -101,10 +106,10 @@
         self.assertGreater(later.work, high.work * 0.8)
 
     def test_sums_instances_and_drops_old_reports(self) -> None:
-        view = DemandView()
+        view = TotalDemand()
         report = [KindDemand("pool/long", 1.0, 1000.0, 2)]
-        view.hear("a", report, 0.0)
-        view.hear("b", report, 2.5)
+        view.update("a", report, 0.0)
+        view.update("b", report, 2.5)
         self.assertEqual(view.total("pool", 2.6)[0].work, 2.0)
         self.assertEqual(view.total("pool", 4.0)[0].work, 1.0)
         self.assertEqual(view.total("other", 4.0), [])
