--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -16,7 +16,7 @@
 
 from jasminerelay import peerwords, placing
 from jasminerelay.catalog import BackendServer, Engine
-from jasminerelay.enginemodel import Speeds
+from jasminerelay.enginemodel import EngineSpeeds
 from jasminerelay.groups import ServerSplit, TotalDemand
 from jasminerelay.placing import Guess, Option
 from jasminerelay.registry import Registry
@@ -34,7 +34,7 @@
 CALLS_PER_ROUND = 200
 SIZES = (8, 32, 128, 512)
 ENGINE = Engine(64, 700_000, 18_432, True, 5)
-SPEEDS = Speeds(1 / 80_000, 0.045, 0.004, 0.000_08)
+SPEEDS = EngineSpeeds(1 / 80_000, 0.045, 0.004, 0.000_08)
 
 
 def make_message(servers: int) -> PeerWord:
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -13,7 +13,7 @@
     Engine,
     PromptPart,
 )
-from jasminerelay.enginemodel import EngineModels, Speeds
+from jasminerelay.enginemodel import EngineModels, EngineSpeeds
 from jasminerelay.groups import (
     DemandMeter,
     ResourceNeed,
@@ -405,7 +405,7 @@
         left_s = max(0.0, min(pauses) * PAUSE_SHARE - event_s)
         return left_s / speeds.read_token_s
 
-    def _speeds(self, service: str) -> Speeds:
+    def _speeds(self, service: str) -> EngineSpeeds:
         return self.engine_models.of(service).speeds()
 
     def record_first_event(
@@ -660,7 +660,7 @@
         token_times = (self.token_times.token_s(name, now) for name in decoding)
         self._kind_queues[key] = _KindQueue(
             now,
-            speeds.reading_s(unread) / len(names),
+            speeds.prefill_s(unread) / len(names),
             self._instances() / len(names),
             min(
                 seconds_per_token or speeds.step_s
@@ -747,7 +747,7 @@
             now: Monotonic time.
         """
         load = self.workload.load(server)
-        prefill_s = self._speeds(service).reading_s(load.unread)
+        prefill_s = self._speeds(service).prefill_s(load.unread)
         if not load.running or prefill_s > UNDISTURBED_PREFILL_S:
             return
         sample = EngineSample(service, False, load.running, step_s)
--- a/src/jasminerelay/enginemodel.py
+++ b/src/jasminerelay/enginemodel.py
@@ -59,7 +59,7 @@
 extrapolated from few concurrent requests to all slots, which amplifies noise.
 """
 
-RUN_SHARE = 0.9
+SLOT_SHARE = 0.9
 """Share of a server's slots that is used. The rest absorbs requests that other
 instances send before their load reports arrive; a request without a slot
 preempts others or queues there. An engine that gets too slow for long answers
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Speeds:
+class EngineSpeeds:
     """Typical performance of a service's engines.
 
     Attributes:
@@ -87,13 +87,13 @@
     step_s: float
     step_run_s: float
 
-    def reading_s(self, tokens: float) -> float:
+    def prefill_s(self, tokens: float) -> float:
         """Returns the prefill time of some tokens."""
         return tokens * self.read_token_s
 
     def first_s(self, tokens: float) -> float:
         """Returns the time to first event with some tokens to prefill."""
-        return self.first_event_s + self.reading_s(tokens)
+        return self.first_event_s + self.prefill_s(tokens)
 
     def token_s(self, running: float) -> float:
         """Returns the time per token with some concurrent requests."""
@@ -111,8 +111,8 @@
             memory: Tokens of KV cache that the request occupies.
         """
         fitting_requests = engine.cache_tokens * CACHE_SHARE / max(1, memory)
-        batch = max(1.0, min(engine.slots * RUN_SHARE, fitting_requests))
-        return self.reading_s(unread) + output * self.token_s(batch) / batch
+        batch = max(1.0, min(engine.slots * SLOT_SHARE, fitting_requests))
+        return self.prefill_s(unread) + output * self.token_s(batch) / batch
 
 
 @dataclasses.dataclass(frozen=True)
@@ -146,7 +146,7 @@
         self._unfitted = 0
         self._last_prefill_sample = float("-inf")
         self._last_step_sample = float("-inf")
-        self._speeds: Speeds | None = None
+        self._speeds: EngineSpeeds | None = None
 
     def set_initial_estimate(
         self, engine: Engine, route: Route, tokens: int
@@ -193,7 +193,7 @@
         self._prefill_samples.append((tokens, seconds))
         self._count_sample(len(self._prefill_samples))
 
-    def stepped(self, running: int, token_s: float, now: float) -> None:
+    def add_step_time(self, running: int, token_s: float, now: float) -> None:
         """Adds a time per token measured at an engine without prefill."""
         full = len(self._step_samples) == MAX_SAMPLES
         if full and now - self._last_step_sample < SAMPLE_INTERVAL_S:
@@ -202,12 +202,12 @@
         self._step_samples.append((running, token_s))
         self._count_sample(len(self._step_samples))
 
-    def speeds(self) -> Speeds:
+    def speeds(self) -> EngineSpeeds:
         """Returns the present estimate."""
         if self._speeds is None:
             reading = self._fit_prefill()
             step = self._fit_steps()
-            self._speeds = Speeds(
+            self._speeds = EngineSpeeds(
                 reading.slope, reading.base, step.base, step.slope
             )
         return self._speeds
@@ -317,19 +317,21 @@
 
     def add_local_sample(self, sample: EngineSample, now: float) -> None:
         """Adds a sample measured at this instance."""
-        self.hear([sample], now)
+        self.add_peer_samples([sample], now)
         self._unsent.append(sample)
 
-    def hear(self, samples: Iterable[EngineSample], now: float) -> None:
+    def add_peer_samples(
+        self, samples: Iterable[EngineSample], now: float
+    ) -> None:
         """Adds samples measured at another instance."""
         for item in samples:
             model = self.of(item.service)
             if item.reading:
                 model.read(item.count, item.seconds, now)
             else:
-                model.stepped(item.count, item.seconds, now)
+                model.add_step_time(item.count, item.seconds, now)
 
-    def untold(self) -> list[EngineSample]:
+    def take_unsent_samples(self) -> list[EngineSample]:
         """Returns and clears the local samples that were not sent yet."""
         unsent = list(self._unsent)
         self._unsent.clear()
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -282,7 +282,7 @@
         cell, other_delay_s = found
         own_delay_s = self._ahead_s(kind)
         speeds = self._dispatcher.engine_models.of(self._service).speeds()
-        prefill_s = speeds.reading_s(call.prompt.shared_tokens)
+        prefill_s = speeds.prefill_s(call.prompt.shared_tokens)
         if own_delay_s - other_delay_s < prefill_s + MIN_REDIRECT_GAIN_S:
             return None
         servers = len(self._registry.servers_of(self._service))
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -290,7 +290,7 @@
             chosen = self._rng.sample(owners, count) + chosen[count:]
         message = dataclasses.replace(
             self._peer_message(None),
-            samples=self._dispatcher.engine_models.untold(),
+            samples=self._dispatcher.engine_models.take_unsent_samples(),
         )
         data = peerwords.encode(message)
         for member in chosen:
@@ -395,7 +395,7 @@
         )
         demand = peerwords.demand_rows(message.demand)
         self._dispatcher.demand.update(message.sender, demand, now)
-        self._dispatcher.engine_models.hear(message.samples, now)
+        self._dispatcher.engine_models.add_peer_samples(message.samples, now)
         if self._owned is not None:
             self._owned.queues.hear(message.queues, now)
             if message.standing.touch != Touch.LOST:
--- a/src/jasminerelay/placing.py
+++ b/src/jasminerelay/placing.py
@@ -13,7 +13,7 @@
 
 from jasminerelay import rendezvous
 from jasminerelay.catalog import BackendServer, Call, Engine
-from jasminerelay.enginemodel import CACHE_SHARE, RUN_SHARE, Speeds
+from jasminerelay.enginemodel import CACHE_SHARE, SLOT_SHARE, EngineSpeeds
 from jasminerelay.workload import Load
 
 PREFILL_LIMIT_S = 0.45
@@ -153,7 +153,7 @@
 def place_model(
     call: Call,
     engine: Engine,
-    speeds: Speeds,
+    speeds: EngineSpeeds,
     options: Sequence[Option],
     estimate: Guess,
     now: float,
@@ -223,7 +223,7 @@
 def _score(
     call: Call,
     engine: Engine,
-    speeds: Speeds,
+    speeds: EngineSpeeds,
     item: Option,
     first_choice: str,
     prefix_holders: Sequence[Option],
@@ -243,7 +243,7 @@
         first_s += FULL_SERVER_PENALTY_S
     decode_s = estimate.output * speeds.token_s(item.load.running)
     seconds = first_s + DECODE_WEIGHT * decode_s
-    seconds += RECOMPUTE_WEIGHT * speeds.reading_s(unread - 1)
+    seconds += RECOMPUTE_WEIGHT * speeds.prefill_s(unread - 1)
     if copied_tokens:
         seconds += RECOMPUTE_WEIGHT * copy_s
     if item.slowness >= SLOW_FACTOR:
@@ -263,14 +263,14 @@
 
 
 def has_capacity(
-    engine: Engine, speeds: Speeds, item: Option, memory: int
+    engine: Engine, speeds: EngineSpeeds, item: Option, memory: int
 ) -> bool:
     """Returns whether a server has capacity for a request now."""
-    slots = max(1, int(engine.slots * RUN_SHARE))
+    slots = max(1, int(engine.slots * SLOT_SHARE))
     if item.load.running >= slots:
         return False
     limit_s = KNOWN_UNREAD_S if item.cache_known else PREFILL_LIMIT_S
-    if speeds.reading_s(item.load.unread) > limit_s:
+    if speeds.prefill_s(item.load.unread) > limit_s:
         return False
     if not item.load.running:
         # A request that exceeds the cache share must run somewhere, too.
@@ -311,9 +311,9 @@
     return Placed(min(usable, key=score).server, 0, 0)
 
 
-def first_event_s(speeds: Speeds, item: Option, unread: int) -> float:
+def first_event_s(speeds: EngineSpeeds, item: Option, unread: int) -> float:
     """Returns the expected time to the first event of a request sent now."""
-    prefill_s = speeds.reading_s(item.load.unread + unread)
+    prefill_s = speeds.prefill_s(item.load.unread + unread)
     return speeds.first_event_s + prefill_s * item.slowness
 
 
@@ -338,11 +338,14 @@
 
 
 def _order_value_s(
-    call: Call, engine: Engine, speeds: Speeds, next_choices: Sequence[str]
+    call: Call,
+    engine: Engine,
+    speeds: EngineSpeeds,
+    next_choices: Sequence[str],
 ) -> dict[str, float]:
     """Returns the value in seconds of following the common order, by server."""
     shared = call.prompt.shared_tokens
-    fetch_s = min(speeds.reading_s(shared), engine.transfer_s(shared))
+    fetch_s = min(speeds.prefill_s(shared), engine.transfer_s(shared))
     prefix_value_s = RECOMPUTE_WEIGHT * fetch_s
     pairs = zip(next_choices, OVERFLOW_CACHED_SHARES, strict=False)
     return {name: part * prefix_value_s for name, part in pairs}
@@ -366,7 +369,7 @@
 
 def _copy_source(
     engine: Engine,
-    speeds: Speeds,
+    speeds: EngineSpeeds,
     item: Option,
     prefix_holders: Sequence[Option],
     missing: int,
@@ -385,7 +388,7 @@
         if item.cache_known
         else missing
     )
-    if engine.transfer_s(copy_tokens) >= speeds.reading_s(copy_tokens):
+    if engine.transfer_s(copy_tokens) >= speeds.prefill_s(copy_tokens):
         return source, 0
     return source, copy_tokens
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -13,7 +13,7 @@
 from jasminerelay import cells, peerwords, placementclient
 from jasminerelay.catalog import Call, Prompt, PromptPart
 from jasminerelay.dispatcher import Dispatcher
-from jasminerelay.enginemodel import RUN_SHARE
+from jasminerelay.enginemodel import SLOT_SHARE
 from jasminerelay.errors import NoRoomError
 from jasminerelay.followers import FOLLOWERS, LED_S, Followers
 from jasminerelay.membership import ALIVE
@@ -196,7 +196,7 @@
         model = self.dispatcher.engine_models.of(SERVICE)
         for tokens in (1_000, 4_000, 8_000, 16_000) * 3:
             model.read(tokens, FIRST_EVENT_S + tokens * READ_TOKEN_S, 0.0)
-            model.stepped(tokens // 1_000, TOKEN_S, 0.0)
+            model.add_step_time(tokens // 1_000, TOKEN_S, 0.0)
 
     def _send_update(self, owner: Member, message) -> None:
         dropped = {self.name, owner.instance} & self.site.crashed
@@ -557,7 +557,7 @@
         self.assertEqual(
             sum(node.owned.loads(time.monotonic()) != [] for node in nodes), 2
         )
-        self.assertLessEqual(max_running, 2 * int(SLOTS * RUN_SHARE))
+        self.assertLessEqual(max_running, 2 * int(SLOTS * SLOT_SHARE))
         runs = [reservation.run for reservation in reservations]
         self.assertEqual(len({id(run) for run in runs}), len(runs))
 
--- a/tests/test_enginemodel.py
+++ b/tests/test_enginemodel.py
@@ -9,17 +9,17 @@
     MAX_SAMPLES,
     EngineModel,
     EngineModels,
-    Speeds,
+    EngineSpeeds,
 )
 from jasminerelay.schema.messages import EngineSample
 from tests.test_placing import route
 
 ENGINE = Engine(64, 700_000, 18_432, True, 5)
-TYPICAL = Speeds(1 / 60_000, 0.04, 0.004, 0.000_05)
+TYPICAL = EngineSpeeds(1 / 60_000, 0.04, 0.004, 0.000_05)
 
 
 def observed(
-    speeds: Speeds, count: int, rng: random.Random, slots: int = 64
+    speeds: EngineSpeeds, count: int, rng: random.Random, slots: int = 64
 ) -> EngineModel:
     """Returns a model fitted to requests at engines of some speed.
 
@@ -37,7 +37,7 @@
             seconds *= 3
         model.read(tokens, seconds, number)
         running = rng.randrange(1, max(2, slots // 2))
-        model.stepped(
+        model.add_step_time(
             running, speeds.token_s(running) * rng.uniform(1, 1.05), number
         )
     return model
@@ -56,7 +56,7 @@
         for reading in (0.25, 1.0, 4.0):
             for step_factor in (1 / 3, 1.0, 3.0):
                 for slots in (16, 128, 256):
-                    speeds = Speeds(
+                    speeds = EngineSpeeds(
                         TYPICAL.read_token_s * reading,
                         TYPICAL.first_event_s,
                         TYPICAL.step_s * step_factor,
@@ -96,7 +96,7 @@
         model.set_initial_estimate(ENGINE, route(objective_s=0.8), 9000)
         speeds = model.speeds()
         self.assertLess(speeds.first_s(9000), 0.8)
-        self.assertGreater(speeds.reading_s(9000), 0.3)
+        self.assertGreater(speeds.prefill_s(9000), 0.3)
 
     def test_follows_a_slower_engine(self) -> None:
         model = observed(TYPICAL, 60, random.Random(5))
@@ -147,8 +147,8 @@
         models = EngineModels()
         reading = EngineSample("pool", True, 900, 0.1)
         models.add_local_sample(reading, 0.0)
-        self.assertEqual(models.untold(), [reading])
-        self.assertEqual(models.untold(), [])
+        self.assertEqual(models.take_unsent_samples(), [reading])
+        self.assertEqual(models.take_unsent_samples(), [])
 
     def test_samples_of_other_instances_only(self) -> None:
         # One of ninety instances has few requests of its own.
@@ -156,7 +156,7 @@
         for tokens in (500, 1000, 4000, 8000) * 3:
             sample = EngineSample("pool", True, tokens, TYPICAL.first_s(tokens))
             there.add_local_sample(sample, 0.0)
-            here.hear(there.untold(), 0.0)
+            here.add_peer_samples(there.take_unsent_samples(), 0.0)
         found = here.of("pool").speeds()
         self.assertAlmostEqual(found.read_token_s, TYPICAL.read_token_s)
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -15,7 +15,7 @@
     Route,
     Share,
 )
-from jasminerelay.enginemodel import Speeds
+from jasminerelay.enginemodel import EngineSpeeds
 from jasminerelay.placing import Guess, Option, Placed, Wait
 from jasminerelay.workload import (
     NO_LOAD,
@@ -24,7 +24,7 @@
 
 ENGINE = Engine(64, 700_000, 18_432, True, 5)
 ESTIMATE = Guess(400, 400)
-SPEEDS = Speeds(1 / 80_000, 0.045, 0.004, 0.000_08)
+SPEEDS = EngineSpeeds(1 / 80_000, 0.045, 0.004, 0.000_08)
 
 
 def route(**fields) -> Route:
