--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -72,7 +72,7 @@
     def part() -> None:
         message = peerwords.decode(data)
         loads = peerwords.load_rows(message.loads)
-        workload.hear("edge-1", next(sequence_numbers), loads, 1.0)
+        workload.apply_report("edge-1", next(sequence_numbers), loads, 1.0)
         view.update("edge-1", peerwords.demand_rows(message.demand), 1.0)
 
     return part
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -464,7 +464,7 @@
         self._kit.dispatcher.record_first_event(
             self._call,
             reservation.placed,
-            reservation.run.ahead,
+            reservation.run.prefill_ahead,
             now - self._sent_at,
         )
 
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -30,7 +30,7 @@
 from jasminerelay.serverlimits import Allowance
 from jasminerelay.silences import ResponseMonitor
 from jasminerelay.stragglers import Stragglers
-from jasminerelay.workload import Run, Workload
+from jasminerelay.workload import InFlightRequest, Workload
 
 SPLIT_INTERVAL_S = 0.5
 """Interval at which the assignment of servers to kinds is computed again."""
@@ -160,7 +160,7 @@
                     US_PER_S * (self.token_times.own_s(item.server, now) or 0)
                 ),
             )
-            for item in self.workload.own()
+            for item in self.workload.own_loads()
         ]
 
     def apply_load_report(
@@ -172,7 +172,7 @@
     ) -> None:
         """Applies another instance's load report, unless it is out of date."""
         loads = list(loads)
-        if not self.workload.hear(instance, number, loads, now):
+        if not self.workload.apply_report(instance, number, loads, now):
             return
         for item in loads:
             if item.token_us:
@@ -430,7 +430,7 @@
 
     def reserve(
         self, call: Call, placed: Placed, number: int | None = None
-    ) -> Run:
+    ) -> InFlightRequest:
         """Records that a request is sent to a server.
 
         Args:
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -37,7 +37,7 @@
     TokenWord,
 )
 from jasminerelay.silences import ToldSilences
-from jasminerelay.workload import Run
+from jasminerelay.workload import InFlightRequest
 
 SENDER_TIMEOUT_S = 3.0
 """Silence of an instance after which its requests are dropped. An instance with
@@ -65,7 +65,7 @@
 
     call: Call | None = None
     queue_entry: QueueEntry | None = None
-    run: Run | None = None
+    run: InFlightRequest | None = None
     answer: PlaceAnswer | None = None
 
 
@@ -314,14 +314,21 @@
         return freed
 
     def _record_first_event(
-        self, request: _Request, run: Run, first_s: float, now: float
+        self,
+        request: _Request,
+        run: InFlightRequest,
+        first_s: float,
+        now: float,
     ) -> None:
         run.read(first_s)
         self._dispatcher.record_response(run.server, now)
         queue_entry = request.queue_entry
         if queue_entry is not None and queue_entry.reservation is not None:
             self._dispatcher.record_first_event(
-                request.call, queue_entry.reservation.placed, run.ahead, first_s
+                request.call,
+                queue_entry.reservation.placed,
+                run.prefill_ahead,
+                first_s,
             )
 
     def _record_ends(
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -41,7 +41,7 @@
     PlaceWord,
     TokenWord,
 )
-from jasminerelay.workload import Run
+from jasminerelay.workload import InFlightRequest
 
 MIN_INSTANCES_FOR_OWNERS = 24
 """Number of instances from which cell owners place requests. Fewer instances
@@ -289,7 +289,7 @@
         ):
             self._counters.incr("place.too_many")
             return None
-        number = self._dispatcher.workload.new_number()
+        number = self._dispatcher.workload.next_number()
         return _PendingRequest(number, call, avoid, cell, owner)
 
     def _owner(self, cell: Cell) -> Member | None:
@@ -375,7 +375,7 @@
         """Returns the cells with requests that have started or ended."""
         workload = self._dispatcher.workload
         if not self.active:
-            workload.touched.clear()
+            workload.changed_servers.clear()
             workload.ended.clear()
             return set()
         found = set()
@@ -385,11 +385,11 @@
                 self._ends.setdefault(cell, []).append(request_end_report(end))
                 found.add(cell)
         workload.ended.clear()
-        for server in workload.touched:
+        for server in workload.changed_servers:
             cell = self._cell_of(server)
             if cell is not None:
                 found.add(cell)
-        workload.touched.clear()
+        workload.changed_servers.clear()
         found.update(
             cell
             for cell, update_state in self._updates.items()
@@ -505,7 +505,7 @@
     def _next_number(self) -> int:
         # All cells share one sequence, so numbers keep increasing for a
         # cell whose state was dropped here.
-        return self._dispatcher.workload.new_number()
+        return self._dispatcher.workload.next_number()
 
     def _has_owners(self, service: str) -> bool:
         """Returns whether cell owners place the requests of a service.
@@ -516,7 +516,7 @@
         """
         return self._dispatcher.engine_of(service) is not None
 
-    def _runs_at(self, cell: Cell) -> list[Run]:
+    def _runs_at(self, cell: Cell) -> list[InFlightRequest]:
         return [
             run
             for run in self._dispatcher.workload.runs.values()
--- a/src/jasminerelay/placementqueue.py
+++ b/src/jasminerelay/placementqueue.py
@@ -13,7 +13,7 @@
 from jasminerelay.catalog import Call
 from jasminerelay.errors import NoRoomError
 from jasminerelay.placing import Placed, Wait
-from jasminerelay.workload import Run
+from jasminerelay.workload import InFlightRequest
 
 MAX_FAILED_ATTEMPTS = 8
 """Failed placement attempts per kind in one pass; the rest of the kind is left
@@ -42,7 +42,7 @@
     """
 
     placed: Placed
-    run: Run
+    run: InFlightRequest
     owner: str = ""
 
 
@@ -104,7 +104,7 @@
         place: Place,
         expect: Expect,
         busy: Callable[[Call], float],
-        reserve: Callable[[Call, Placed], Run],
+        reserve: Callable[[Call, Placed], InFlightRequest],
         first: Callable[[Call], float] = lambda call: 0.0,
         *,
         frequent_passes: bool = False,
--- a/src/jasminerelay/placewords.py
+++ b/src/jasminerelay/placewords.py
@@ -13,7 +13,7 @@
     PlaceAsk,
     RunWord,
 )
-from jasminerelay.workload import End, Run, Verdict
+from jasminerelay.workload import InFlightRequest, RequestEnd, Verdict
 
 PLACED = "placed"
 WAITING = "waiting"
@@ -92,14 +92,14 @@
     )
 
 
-def in_flight_report(run: Run) -> RunWord:
+def in_flight_report(run: InFlightRequest) -> RunWord:
     """Returns the message about an in-flight request."""
     first_s = run.first_s
     first_ms = NO_VALUE if first_s is None else round(MS * first_s)
     return RunWord(run.number, run.server, run.unread, run.memory, first_ms)
 
 
-def request_end_report(end: End) -> EndWord:
+def request_end_report(end: RequestEnd) -> EndWord:
     """Returns the message about a request that has ended."""
     return EndWord(
         end.number,
--- a/src/jasminerelay/workload.py
+++ b/src/jasminerelay/workload.py
@@ -57,13 +57,13 @@
 NO_LOAD = Load()
 
 
-class Run:
+class InFlightRequest:
     """One in-flight request at one server, from dispatch to end.
 
     Attributes:
         number: Identifies it among all in-flight requests of its instance.
         server: The server.
-        ahead: Prompt tokens pending prefill at the server before it.
+        prefill_ahead: Prompt tokens pending prefill at the server before it.
         unread: Its own prompt tokens not yet known to be prefilled.
         memory: Tokens of KV cache that it occupies or will occupy.
         first_s: Time from sending to its first event; None before that.
@@ -89,7 +89,7 @@
     ):
         self.number = number
         self.server = server
-        self.ahead = workload.load(server).unread
+        self.prefill_ahead = workload.load(server).unread
         self.unread = unread
         self.memory = memory
         self.first_s: float | None = None
@@ -103,7 +103,7 @@
             first_s: Time from sending to that event.
         """
         self.first_s = first_s
-        self._workload.change(self.server, Load(-self.unread, 0, 0))
+        self._workload.add_load(self.server, Load(-self.unread, 0, 0))
         self.unread = 0
 
     def end(self, verdict: "Verdict | None" = None, output: int = 0) -> None:
@@ -116,8 +116,12 @@
         if self._ended:
             return
         self._ended = True
-        self._workload.change(self.server, Load(-self.unread, -1, -self.memory))
-        self._workload.close(End(self.number, self.server, verdict, output))
+        self._workload.add_load(
+            self.server, Load(-self.unread, -1, -self.memory)
+        )
+        self._workload.close(
+            RequestEnd(self.number, self.server, verdict, output)
+        )
 
 
 class Verdict(enum.Enum):
@@ -133,7 +137,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class End:
+class RequestEnd:
     """The end of a request at a server.
 
     Attributes:
@@ -163,7 +167,7 @@
         changed: Whether the own loads changed since the flag was last cleared.
         runs: Own in-flight requests by number.
         ended: Own ended requests that are not yet reported.
-        touched: Servers whose own loads changed and are not yet reported.
+        changed_servers: Servers whose own loads changed and are not yet reported.
     """
 
     def __init__(self) -> None:
@@ -172,19 +176,19 @@
         self._peer_total: dict[str, Load] = {}
         self._numbers = itertools.count(1)
         self.changed = False
-        self.runs: dict[int, Run] = {}
-        self.ended: collections.deque[End] = collections.deque(
+        self.runs: dict[int, InFlightRequest] = {}
+        self.ended: collections.deque[RequestEnd] = collections.deque(
             maxlen=MAX_UNREPORTED_ENDS
         )
-        self.touched: set[str] = set()
+        self.changed_servers: set[str] = set()
 
-    def new_number(self) -> int:
+    def next_number(self) -> int:
         """Returns a number that no request of this instance has had."""
         return next(self._numbers)
 
     def start(
         self, server: str, unread: int, memory: int, number: int | None = None
-    ) -> Run:
+    ) -> InFlightRequest:
         """Records that a request is sent to a server.
 
         Args:
@@ -196,31 +200,31 @@
                 assign a new one.
         """
         already_counted = number is not None
-        number = number if already_counted else self.new_number()
-        run = Run(self, number, server, unread, memory)
+        number = number if already_counted else self.next_number()
+        run = InFlightRequest(self, number, server, unread, memory)
         self.runs[number] = run
-        unreported = not already_counted or server in self.touched
-        self.change(server, Load(unread, 1, memory))
+        unreported = not already_counted or server in self.changed_servers
+        self.add_load(server, Load(unread, 1, memory))
         if not unreported:
-            self.touched.remove(server)
+            self.changed_servers.remove(server)
         return run
 
-    def close(self, end: End) -> None:
+    def close(self, end: RequestEnd) -> None:
         """Records the end of an in-flight request."""
         self.runs.pop(end.number, None)
         self.ended.append(end)
 
-    def change(self, server: str, difference: Load) -> None:
+    def add_load(self, server: str, difference: Load) -> None:
         """Adds a difference to this instance's load at a server."""
         load = self._own.get(server, NO_LOAD) + difference
         self.changed = True
-        self.touched.add(server)
+        self.changed_servers.add(server)
         if load == NO_LOAD:
             self._own.pop(server, None)
         else:
             self._own[server] = load
 
-    def own(self) -> list[ServerLoad]:
+    def own_loads(self) -> list[ServerLoad]:
         """Returns this instance's loads, to be reported to the others."""
         return [
             ServerLoad(name, load.unread, load.running, load.memory)
@@ -231,7 +235,7 @@
         """Returns the number of this instance's in-flight requests there."""
         return self._own.get(server, NO_LOAD).running
 
-    def hear(
+    def apply_report(
         self,
         instance: str,
         number: int,
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -144,7 +144,7 @@
         return sum(
             item.unread
             for node in self.nodes.values()
-            for item in node.dispatcher.workload.own()
+            for item in node.dispatcher.workload.own_loads()
             if item.server == server
         )
 
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -23,7 +23,7 @@
         own, other = Workload(), Workload()
         run = own.start("a", 100, 200)
         other.start("a", 50, 60)
-        own.hear("other", 1, other.own(), 0.0)
+        own.apply_report("other", 1, other.own_loads(), 0.0)
         self.assertEqual(own.load("a"), Load(150, 2, 260))
         run.read()
         run.end()
@@ -32,10 +32,10 @@
 
     def test_older_report_is_ignored(self) -> None:
         own, other = Workload(), Workload()
-        first = other.own()
+        first = other.own_loads()
         other.start("a", 50, 60)
-        own.hear("other", 2, other.own(), 0.0)
-        own.hear("other", 1, first, 0.0)
+        own.apply_report("other", 2, other.own_loads(), 0.0)
+        own.apply_report("other", 1, first, 0.0)
         self.assertEqual(own.load("a").running, 1)
 
     def test_sum_after_many_updates(self) -> None:
@@ -49,7 +49,7 @@
             name = f"peer-{rng.randrange(12)}"
             loads = {f"s{rng.randrange(5)}": rng.randrange(1, 9)}
             reports[name] = (now, loads)
-            workload.hear(
+            workload.apply_report(
                 name,
                 number,
                 [ServerLoad(s, n, n, n) for s, n in loads.items()],
@@ -67,7 +67,7 @@
     def test_dead_instance_is_dropped(self) -> None:
         own, other = Workload(), Workload()
         other.start("a", 50, 60)
-        own.hear("other", 1, other.own(), 0.0)
+        own.apply_report("other", 1, other.own_loads(), 0.0)
         own.expire(PEER_LOAD_MAX_AGE_S + 0.1)
         self.assertEqual(own.load("a").running, 0)
 
