--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -21,7 +21,6 @@
     TotalDemand,
 )
 from jasminerelay.lengths import Lengths
-from jasminerelay.pace import TokenTimes
 from jasminerelay.placementqueue import Reservation
 from jasminerelay.placing import Guess, Option, Placed, Wait
 from jasminerelay.prefix import CacheView, PrefixIndex, part_hash
@@ -30,6 +29,7 @@
 from jasminerelay.serverlimits import Allowance
 from jasminerelay.silences import ResponseMonitor
 from jasminerelay.stragglers import Stragglers
+from jasminerelay.tokentimes import TokenTimes
 from jasminerelay.workload import InFlightRequest, Workload
 
 SPLIT_INTERVAL_S = 0.5
@@ -157,7 +157,8 @@
             dataclasses.replace(
                 item,
                 token_us=round(
-                    US_PER_S * (self.token_times.own_s(item.server, now) or 0)
+                    US_PER_S
+                    * (self.token_times.own_token_s(item.server, now) or 0)
                 ),
             )
             for item in self.workload.own_loads()
@@ -176,7 +177,7 @@
             return
         for item in loads:
             if item.token_us:
-                self.token_times.hear(
+                self.token_times.record_report(
                     item.server, item.token_us / US_PER_S, now
                 )
 
@@ -757,7 +758,7 @@
         self, service: str, servers: list[str], now: float
     ) -> None:
         for name in servers:
-            step_s = self.token_times.undisturbed_s(name)
+            step_s = self.token_times.step_time_s(name)
             if step_s is not None:
                 self.record_step_time(service, name, step_s, now)
 
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -354,7 +354,7 @@
             if item.silent:
                 self._unresponsive.told(item.server, now)
             if item.token_us:
-                self._dispatcher.token_times.hear(
+                self._dispatcher.token_times.record_report(
                     item.server, item.token_us / US, now
                 )
             if item.step_us:
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -537,8 +537,8 @@
         observations = []
         paces = self._dispatcher.token_times
         for name in servers:
-            token_s = paces.own_s(name, now) or 0.0
-            step_s = paces.undisturbed_s(name) or 0.0
+            token_s = paces.own_token_s(name, now) or 0.0
+            step_s = paces.step_time_s(name) or 0.0
             silent = self._dispatcher.silent(name, now)
             if token_s or step_s or silent:
                 observations.append(
--- a/src/jasminerelay/pace.py
+++ b/src/jasminerelay/tokentimes.py
@@ -94,7 +94,7 @@
         weight = 1 - math.exp(-seconds / AVERAGING_TIME_S)
         self._own[server] = (held[0] + weight * (sample - held[0]), now)
 
-    def hear(self, server: str, token_s: float, now: float) -> None:
+    def record_report(self, server: str, token_s: float, now: float) -> None:
         """Records a recent measurement of another instance."""
         held = self._reported.get(server)
         if held is None or now - held[1] > OWN_MAX_AGE_S:
@@ -103,7 +103,7 @@
         mean = held[0] + REPORT_WEIGHT * (token_s - held[0])
         self._reported[server] = (mean, now)
 
-    def own_s(self, server: str, now: float) -> float | None:
+    def own_token_s(self, server: str, now: float) -> float | None:
         """Returns this instance's recent measurement, to be reported."""
         held = self._own.get(server)
         if held is None or now - held[1] > OWN_MAX_AGE_S:
@@ -136,7 +136,7 @@
         """Returns the time per token relative to the median of the peers."""
         return self.compare({server, *peers}, now).slowness(server)
 
-    def undisturbed_s(self, server: str) -> float | None:
+    def step_time_s(self, server: str) -> float | None:
         """Returns the time per token without concurrent prefill.
 
         Covers the tokens since the last call; None if there were too few.
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -473,7 +473,7 @@
     Safeguard(
         "reported times per token are not forwarded",
         "dispatcher",
-        "self.token_times.own_s(item.server, now) or 0",
+        "self.token_times.own_token_s(item.server, now) or 0",
         "self.token_times.token_s(item.server, now) or 0",
         "test_dispatcher.ReportedTokenTimeTest.test_reports_are_not_forwarded",
     ),
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -11,7 +11,6 @@
 from jasminerelay.catalog import Prompt, PromptPart
 from jasminerelay.dispatcher import SPLIT_INTERVAL_S, Dispatcher
 from jasminerelay.enginemodel import MIN_SAMPLES
-from jasminerelay.pace import MIN_TIMES
 from jasminerelay.placementqueue import (
     MAX_FAILED_ATTEMPTS,
     PlacementQueue,
@@ -27,6 +26,7 @@
     ServerLoad,
     Standing,
 )
+from jasminerelay.tokentimes import MIN_TIMES
 from tests.test_cells import server_rows
 from tests.test_placing import call, route
 
@@ -126,12 +126,12 @@
         # measurement: forwarded between instances, it would never expire.
         here = dispatcher(1)
         here.workload.start("i-000", unread=100, memory=10_000)
-        here.token_times.hear("i-000", 0.06, 0.0)
+        here.token_times.record_report("i-000", 0.06, 0.0)
         self.assertEqual(here.own_loads(0.1)[0].token_us, 0)
 
     def test_old_reports_are_ignored(self) -> None:
         here = dispatcher(1)
-        here.token_times.hear("i-000", 0.06, 0.0)
+        here.token_times.record_report("i-000", 0.06, 0.0)
         self.assertIsNone(here.token_times.token_s("i-000", 10.0))
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -75,7 +75,7 @@
         "naive",
         "ordering",
         "outcome",
-        "pace",
+        "tokentimes",
         "placing",
         "prefix",
         "registry",
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -4,11 +4,11 @@
 import unittest
 
 from jasminerelay.lengths import Lengths
-from jasminerelay.pace import MIN_TIMES, TokenTimes
 from jasminerelay.schema.messages import ServerLoad
 from jasminerelay.sharedbudget import SharedBudget
 from jasminerelay.silences import ResponseMonitor
 from jasminerelay.stopping import Stop
+from jasminerelay.tokentimes import MIN_TIMES, TokenTimes
 from jasminerelay.workload import (
     PEER_LOAD_MAX_AGE_S,
     Load,
@@ -161,15 +161,15 @@
             token_times.observe(
                 "a", 1, 0.04 if step % 3 == 0 else 0.005, step * 0.1
             )
-        self.assertAlmostEqual(token_times.undisturbed_s("a"), 0.005)
+        self.assertAlmostEqual(token_times.step_time_s("a"), 0.005)
         # No measurements since the last call.
-        self.assertIsNone(token_times.undisturbed_s("a"))
+        self.assertIsNone(token_times.step_time_s("a"))
 
     def test_too_few_tokens(self) -> None:
         token_times = TokenTimes()
         for step in range(MIN_TIMES - 1):
             token_times.observe("a", 1, 0.005, step * 0.1)
-        self.assertIsNone(token_times.undisturbed_s("a"))
+        self.assertIsNone(token_times.step_time_s("a"))
 
 
 class LengthsTest(unittest.TestCase):
