--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -25,9 +25,9 @@
 from jasminerelay.placing import Guess, Option, Placed, Wait
 from jasminerelay.prefix import CacheView, PrefixIndex, part_hash
 from jasminerelay.registry import Registry
+from jasminerelay.responsemonitor import ResponseMonitor
 from jasminerelay.schema.messages import EngineSample, KindDemand, ServerLoad
 from jasminerelay.serverlimits import Allowance
-from jasminerelay.silences import ResponseMonitor
 from jasminerelay.stragglers import Stragglers
 from jasminerelay.tokentimes import TokenTimes
 from jasminerelay.workload import InFlightRequest, Workload
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -14,6 +14,7 @@
 from jasminerelay.placewords import FOREIGN
 from jasminerelay.prefix import CacheView
 from jasminerelay.registry import Registry
+from jasminerelay.responsemonitor import PeerResponseMonitor
 from jasminerelay.schema.messages import (
     CellQueue,
     KindDemand,
@@ -23,7 +24,6 @@
     ServerLoad,
 )
 from jasminerelay.serverlimits import Allowance
-from jasminerelay.silences import ToldSilences
 
 SCAN_INTERVAL_S = 0.01
 """Minimum interval between scans for placements after a change, while any
@@ -166,7 +166,7 @@
     def _new_owner(
         self, service: str, cell: int, servers: CellServers
     ) -> CellOwner:
-        silences = ToldSilences()
+        silences = PeerResponseMonitor()
         dispatcher = Dispatcher(
             servers,
             self._zone,
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -24,6 +24,7 @@
     call_of,
     placement_answer,
 )
+from jasminerelay.responsemonitor import PeerResponseMonitor
 from jasminerelay.schema.messages import (
     CellQueue,
     EndWord,
@@ -36,7 +37,6 @@
     ServerLoad,
     TokenWord,
 )
-from jasminerelay.silences import ToldSilences
 from jasminerelay.workload import InFlightRequest
 
 SENDER_TIMEOUT_S = 3.0
@@ -102,7 +102,7 @@
         cell: int,
         registry: CellServers,
         dispatcher: Dispatcher,
-        silences: ToldSilences,
+        silences: PeerResponseMonitor,
         queues: QueueView,
         answer: SendAnswers,
     ):
@@ -352,7 +352,7 @@
     ) -> None:
         for item in tokens:
             if item.silent:
-                self._unresponsive.told(item.server, now)
+                self._unresponsive.report_unresponsive(item.server, now)
             if item.token_us:
                 self._dispatcher.token_times.record_report(
                     item.server, item.token_us / US, now
--- a/src/jasminerelay/silences.py
+++ b/src/jasminerelay/responsemonitor.py
@@ -89,7 +89,7 @@
         self._servers.pop(server, None)
 
 
-class ToldSilences:
+class PeerResponseMonitor:
     """Unresponsive servers, as reported by other instances.
 
     Used by cell owners in place of the local detection: an owner sends no
@@ -107,7 +107,7 @@
         del now
         self._until.pop(server, None)
 
-    def told(self, server: str, now: float) -> None:
+    def report_unresponsive(self, server: str, now: float) -> None:
         """Records that an instance reports a server as unresponsive."""
         self._until[server] = now + REPORT_MAX_AGE_S
 
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -405,7 +405,7 @@
     ),
     Safeguard(
         "an unresponsive server gets no more requests",
-        "silences",
+        "responsemonitor",
         "        if now - activity.last_response < UNRESPONSIVE_AFTER_S:\n"
         "            return False\n",
         "        return False\n",
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -85,7 +85,7 @@
         "routing",
         "scaling",
         "sharedbudget",
-        "silences",
+        "responsemonitor",
         "spread",
         "sse",
         "stopping",
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -4,9 +4,9 @@
 import unittest
 
 from jasminerelay.lengths import Lengths
+from jasminerelay.responsemonitor import ResponseMonitor
 from jasminerelay.schema.messages import ServerLoad
 from jasminerelay.sharedbudget import SharedBudget
-from jasminerelay.silences import ResponseMonitor
 from jasminerelay.stopping import Stop
 from jasminerelay.tokentimes import MIN_TIMES, TokenTimes
 from jasminerelay.workload import (
