--- a/src/jasminerelay/cells.py
+++ b/src/jasminerelay/cells.py
@@ -54,7 +54,7 @@
     return _cells(tuple(sorted(servers)))
 
 
-def number_of(server: str, servers: Iterable[str]) -> int | None:
+def cell_number(server: str, servers: Iterable[str]) -> int | None:
     """Returns a server's cell number; None if it is not among the servers."""
     return _numbers(tuple(sorted(servers))).get(server)
 
@@ -99,14 +99,14 @@
         return [server for server in found if server is not None]
 
 
-class QueueView:
+class QueueEstimates:
     """Queue estimates for all cells, as published by their owners."""
 
     def __init__(self) -> None:
         self._queues: dict[Cell, dict[str, float]] = {}
         self._updated_at: dict[Cell, float] = {}
 
-    def hear(self, queues: Iterable[CellQueue], now: float) -> None:
+    def update(self, queues: Iterable[CellQueue], now: float) -> None:
         """Stores an owner's queue estimates."""
         for item in queues:
             cell = (item.service, item.cell)
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from jasminerelay.cells import CellServers, QueueView
+from jasminerelay.cells import CellServers, QueueEstimates
 from jasminerelay.dispatcher import Dispatcher, OnSplit
 from jasminerelay.enginemodel import EngineModels
 from jasminerelay.lengths import Lengths
@@ -72,7 +72,7 @@
         self._counters = counters
         self._allowance = allowance
         self._cells: dict[tuple[str, int], CellOwner] = {}
-        self.queues = QueueView()
+        self.queues = QueueEstimates()
         self.on_split: OnSplit = lambda service, groups, demand: None
         self.answer: SendAnswers = lambda address, message: None
 
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 
 from jasminerelay.catalog import Call
-from jasminerelay.cells import CellServers, QueueView
+from jasminerelay.cells import CellServers, QueueEstimates
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.placementqueue import PlacementQueue, QueueEntry
 from jasminerelay.placewords import (
@@ -103,7 +103,7 @@
         registry: CellServers,
         dispatcher: Dispatcher,
         silences: PeerResponseMonitor,
-        queues: QueueView,
+        queues: QueueEstimates,
         answer: SendAnswers,
     ):
         """Creates the owner of a cell without any known requests.
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -397,7 +397,7 @@
         self._dispatcher.demand.update(message.sender, demand, now)
         self._dispatcher.engine_models.add_peer_samples(message.samples, now)
         if self._owned is not None:
-            self._owned.queues.hear(message.queues, now)
+            self._owned.queues.update(message.queues, now)
             if message.standing.touch != Touch.LOST:
                 self._followers.heard(message.sender, now)
         if message.gossip is not None:
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -528,7 +528,7 @@
         if server is None or not self._has_owners(server.service):
             return None
         ids = self._registry.ids_of(server.service)
-        number = cells.number_of(name, ids)
+        number = cells.cell_number(name, ids)
         return None if number is None else (server.service, number)
 
     def _observations(
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -129,7 +129,7 @@
             for node in self.nodes.values():
                 queues = node.owned.told_queues()
                 for other in self.nodes.values():
-                    other.owned.queues.hear(queues, now)
+                    other.owned.queues.update(queues, now)
             await anyio.sleep(0.02)
 
     def running(self, server: str) -> int:
--- a/tests/test_snapshotchanges.py
+++ b/tests/test_snapshotchanges.py
@@ -166,9 +166,9 @@
 
     def test_added_server_moves_few(self) -> None:
         before = [f"n{number:04}" for number in range(SERVERS)]
-        old = {x: cells.number_of(x, before) for x in before}
+        old = {x: cells.cell_number(x, before) for x in before}
         after = [*before, "n9999"]
-        moved = sum(cells.number_of(x, after) != old[x] for x in before)
+        moved = sum(cells.cell_number(x, after) != old[x] for x in before)
         self.assertLess(moved, SERVERS * 0.05)
 
 
