--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -84,7 +84,7 @@
         """Number of requests that wait in all cells."""
         return sum(len(cell.queue) for cell in self._cells.values())
 
-    def hear(self, message: PlaceWord) -> None:
+    def handle_message(self, message: PlaceWord) -> None:
         """Processes an update: all requests of an instance at a cell.
 
         The receiver places the requests even if it doesn't consider itself the
@@ -139,7 +139,7 @@
             )
             pause_s = max(min_pause_s, elapsed_s * (1 / MAX_SCAN_SHARE - 1))
 
-    def look_soon(self) -> None:
+    def schedule_scan(self) -> None:
         """Schedules a scan for placements at all cells."""
         for cell in self._cells.values():
             cell.changed = True
@@ -152,7 +152,7 @@
         """Returns the demand at all owned cells."""
         return [kind for x in self._cells.values() for kind in x.demand()]
 
-    def told_queues(self) -> list[CellQueue]:
+    def queue_estimates(self) -> list[CellQueue]:
         """Returns the estimated waits of new requests at the owned cells."""
         return [
             item for x in self._cells.values() for item in x.queue_estimates()
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -190,7 +190,7 @@
 
     def _send_to_owner(self, owner: Member, message: PlaceWord) -> None:
         if owner.instance == self.membership.own.instance:
-            self._owned.hear(message)
+            self._owned.handle_message(message)
         else:
             self._send_to(owner.peers, peerwords.encode(message))
 
@@ -306,7 +306,7 @@
         now = time.monotonic()
         if self._uses_owners:
             loads, demand = self._owned.loads(now), self._owned.demand()
-            queues = self._owned.told_queues()
+            queues = self._owned.queue_estimates()
         else:
             queues = []
             loads = self._dispatcher.own_loads(now)
@@ -360,7 +360,7 @@
 
     @functools.singledispatchmethod
     def _dispatch(self, message: PlaceWord) -> None:
-        self._owned.hear(message)
+        self._owned.handle_message(message)
 
     @_dispatch.register
     def _(self, message: OwnerWord) -> None:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -410,7 +410,7 @@
     def _retry_placement(self) -> None:
         """Places queued requests once a server accepts requests again."""
         self._placement_queue.place_all()
-        self._owned_cells.look_soon()
+        self._owned_cells.schedule_scan()
 
     def _on_server_removed(self, server: str) -> None:
         self._rate_limits.gone(server)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -127,7 +127,7 @@
         while True:
             now = time.monotonic()
             for node in self.nodes.values():
-                queues = node.owned.told_queues()
+                queues = node.owned.queue_estimates()
                 for other in self.nodes.values():
                     other.owned.queues.update(queues, now)
             await anyio.sleep(0.02)
@@ -203,7 +203,9 @@
         if dropped or self.site.lose():
             return
         data = peerwords.encode(message)
-        self.site.nodes[owner.instance].owned.hear(peerwords.decode(data))
+        self.site.nodes[owner.instance].owned.handle_message(
+            peerwords.decode(data)
+        )
 
     def _send_answers(self, address: str, message) -> None:
         to = address.removesuffix(":1")
@@ -305,7 +307,7 @@
             message = PlaceWord(
                 "n01", "n01:1", service, cell, 1, [ask], [], [], []
             )
-            node.owned.hear(message)
+            node.owned.handle_message(message)
             self.assertEqual(answers.pop().answers[0].state, FOREIGN)
         self.assertEqual(len(node.owned), 0)
 
