--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -29,7 +29,7 @@
     "ResumePoint": "resume",
     "RetryBudget": "retry",
     "Sample": "burn",
-    "SharedBudget": "sharedbudget",
+    "SharedRetryBudget": "sharedbudget",
     "Signer": "resume",
     "ServerSplit": "groups",
     "Spread": "spread",
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -32,7 +32,7 @@
 from jasminerelay.limitwatch import LimitWatch
 from jasminerelay.metrics import Counters
 from jasminerelay.placementqueue import RequestPlacer, Reservation
-from jasminerelay.sharedbudget import SharedBudget
+from jasminerelay.sharedbudget import SharedRetryBudget
 from jasminerelay.telemetry import Telemetry
 
 IDEMPOTENT_TIMEOUT_FACTOR = 2.5
@@ -88,7 +88,7 @@
     channels: Channels
     dialect: Dialect
     evacuator: Evacuator
-    budget: SharedBudget
+    budget: SharedRetryBudget
     crashes: CrashWatch
     limits: LimitWatch
     counters: Counters
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -53,7 +53,7 @@
         """Serves the request; cancelled when the caller disconnects."""
         call = self._call
         self._kit.dispatcher.record_arrival(call)
-        self._kit.budget.requested(call.service, call.arrived)
+        self._kit.budget.record_request(call.service, call.arrived)
         ended = "caller left"
         try:
             with anyio.move_on_after(call.ends - time.monotonic()) as scope:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -59,7 +59,7 @@
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import Member, Snapshot
 from jasminerelay.schema.settings import Statsd
-from jasminerelay.sharedbudget import SharedBudget
+from jasminerelay.sharedbudget import SharedRetryBudget
 from jasminerelay.stopping import Stop
 from jasminerelay.telemetry import Telemetry
 from jasminerelay.watchdog import Watchdog
@@ -304,7 +304,7 @@
         self._rate_limits.on_grant = self._retry_placement
         self._peers.on_limits = self._rate_limits.hear
         self._channels = Channels(self._watchdog)
-        self._retry_budget = SharedBudget(
+        self._retry_budget = SharedRetryBudget(
             boot.retry_ratio, boot.retry_allowance, boot.retry_window_s
         )
 
@@ -505,7 +505,7 @@
             self._store_state.renew_after(
                 self._follower_role.patience_s(lags=self._freshness.lags)
             )
-            self._retry_budget.saw_instances(self._peers.known, now)
+            self._retry_budget.record_instance_count(self._peers.known, now)
             ticks += 1
             if ticks % CHANNEL_CLEANUP_TICKS == 0:
                 await self._channels.tidy()
--- a/src/jasminerelay/sharedbudget.py
+++ b/src/jasminerelay/sharedbudget.py
@@ -20,7 +20,7 @@
 the window."""
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """Retries that this instance may send, by service."""
 
     def __init__(self, ratio: float, allowance: float, window_s: float):
@@ -40,13 +40,13 @@
             collections.deque()
         )
 
-    def saw_instances(self, count: int, now: float) -> None:
+    def record_instance_count(self, count: int, now: float) -> None:
         """Records the current number of known instances."""
         self._instance_counts.append((now, max(1, count)))
         while self._instance_counts[0][0] < now - 2 * self._window_s:
             self._instance_counts.popleft()
 
-    def requested(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Records a request for a service."""
         requests = self._requests.setdefault(service, collections.deque())
         _drop_older(requests, now - self._window_s)
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -6,7 +6,7 @@
 from jasminerelay.lengths import Lengths
 from jasminerelay.responsemonitor import ResponseMonitor
 from jasminerelay.schema.messages import ServerLoad
-from jasminerelay.sharedbudget import SharedBudget
+from jasminerelay.sharedbudget import SharedRetryBudget
 from jasminerelay.stopping import Stop
 from jasminerelay.tokentimes import MIN_TIMES, TokenTimes
 from jasminerelay.workload import (
@@ -81,15 +81,17 @@
         # retries of all instances exceed the bound.
         ratio, allowance, window_s = 0.2, 52.0, 10.0
         rng = random.Random(3)
-        budgets = [SharedBudget(ratio, allowance, window_s) for _ in range(7)]
+        budgets = [
+            SharedRetryBudget(ratio, allowance, window_s) for _ in range(7)
+        ]
         requests: list[float] = []
         retries: list[float] = []
         now = 0.0
         while now < 60.0:
             now += 0.01
             budget = rng.choice(budgets)
-            budget.saw_instances(7, now)
-            budget.requested("s", now)
+            budget.record_instance_count(7, now)
+            budget.record_request("s", now)
             requests.append(now)
             if budget.spend("s", now):
                 retries.append(now)
@@ -102,18 +104,18 @@
     def test_keeps_one_window(self) -> None:
         # Guards against unbounded memory: the requests of a whole day must not
         # be kept when no retry is ever asked for.
-        budget = SharedBudget(0.2, 52.0, 10.0)
+        budget = SharedRetryBudget(0.2, 52.0, 10.0)
         for number in range(100_000):
-            budget.requested("s", number / 100)
+            budget.record_request("s", number / 100)
         self.assertLessEqual(len(budget._requests["s"]), 1001)
 
     def test_partition_does_not_double_the_allowance(self) -> None:
         # Half of the instances lose contact with the others. The allowance was
         # divided by the previous number of instances and must not be divided
         # anew at once.
-        budget = SharedBudget(0.0, 60.0, 10.0)
-        budget.saw_instances(6, 0.0)
-        budget.saw_instances(3, 1.0)
+        budget = SharedRetryBudget(0.0, 60.0, 10.0)
+        budget.record_instance_count(6, 0.0)
+        budget.record_instance_count(3, 1.0)
         spent = sum(budget.spend("s", 1.0) for _ in range(100))
         self.assertLessEqual(spent, 60 / 6)
 
