--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -10,7 +10,7 @@
 
 from jasminerelay import sse
 from jasminerelay.catalog import BackendServer, Call, Repeat, Route
-from jasminerelay.channels import AnswerTimeoutError, Channel, Channels
+from jasminerelay.channels import AnswerTimeoutError, Channel, ChannelPool
 from jasminerelay.crashwatch import CrashWatch
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.evacuation import MIN_REMAINING_S, Copy, Evacuator
@@ -85,7 +85,7 @@
 
     dispatcher: Dispatcher
     queue: RequestPlacer
-    channels: Channels
+    channels: ChannelPool
     dialect: Dialect
     evacuator: Evacuator
     budget: SharedRetryBudget
@@ -211,7 +211,7 @@
         if answered_id == self._call.id and not head.misdirected:
             self._kit.limits.heard(server.id, head)
         if answered_id != self._call.id:
-            self._kit.channels.distrust(server)
+            self._kit.channels.record_unexpected_data(server)
             self._kit.counters.incr("backend.crossed")
             return Unknown("received the answer to another request")
         if self._call.route.streaming and head.status == OK:
@@ -253,7 +253,7 @@
             return Unknown(f"timed out: {exc!r}")
         await response.aclose()
         if not channel.reusable and not head.closing:
-            self._kit.channels.distrust(channel.server)
+            self._kit.channels.record_unexpected_data(channel.server)
         done.head = head
         if head.not_run:
             return NotRun(f"status {head.status}", head.misdirected)
--- a/src/jasminerelay/channels.py
+++ b/src/jasminerelay/channels.py
@@ -24,7 +24,7 @@
 answer to a request arrives within this time and is detected; otherwise it would
 be read as the answer to the next request."""
 
-DISTRUST_S = 10.0
+NO_POOLING_S = 10.0
 """How long a server that sent bytes which belong to no request gets a new
 connection for each request."""
 
@@ -99,7 +99,7 @@
     """The server's answer timed out; the request may have run."""
 
 
-class Channels:
+class ChannelPool:
     """Pool of the connections of an instance to backend servers."""
 
     def __init__(self, watchdog: Watchdog):
@@ -145,11 +145,11 @@
         max_idle_s = DEFAULT_IDLE_S if idle_s is None else idle_s * IDLE_SHARE
         idle.append(_IdleChannel(channel, now, now + max_idle_s))
 
-    def distrust(self, server: BackendServer) -> None:
+    def record_unexpected_data(self, server: BackendServer) -> None:
         """Records that a server sent bytes which belong to no request."""
-        self._distrusted[server.id] = time.monotonic() + DISTRUST_S
+        self._distrusted[server.id] = time.monotonic() + NO_POOLING_S
 
-    async def tidy(self) -> None:
+    async def close_expired(self) -> None:
         """Closes connections whose idle time has expired."""
         now = time.monotonic()
         stale: list[Channel] = []
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -15,7 +15,7 @@
 from jasminerelay import entrylist, headbound, ports, stopsignals
 from jasminerelay.attempt import Kit
 from jasminerelay.catalog import Bounds, Catalog
-from jasminerelay.channels import Channels
+from jasminerelay.channels import ChannelPool
 from jasminerelay.crashwatch import CrashWatch
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.duties import Duties
@@ -303,7 +303,7 @@
         self._rate_limits.send = self._peers.tell
         self._rate_limits.on_grant = self._retry_placement
         self._peers.on_limits = self._rate_limits.hear
-        self._channels = Channels(self._watchdog)
+        self._channels = ChannelPool(self._watchdog)
         self._retry_budget = SharedRetryBudget(
             boot.retry_ratio, boot.retry_allowance, boot.retry_window_s
         )
@@ -508,7 +508,7 @@
             self._retry_budget.record_instance_count(self._peers.known, now)
             ticks += 1
             if ticks % CHANNEL_CLEANUP_TICKS == 0:
-                await self._channels.tidy()
+                await self._channels.close_expired()
             if (
                 self._planned_stop is None
                 and not self._ready
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -6,7 +6,7 @@
 
 from jasminerelay import channels
 from jasminerelay.catalog import BackendServer
-from jasminerelay.channels import Channels
+from jasminerelay.channels import ChannelPool
 from jasminerelay.watchdog import Watchdog
 
 SERVER = BackendServer("s", "pool", "127.0.0.1:1", "z", 1, False)
@@ -30,7 +30,7 @@
     """Which connections are pooled, and when they are closed."""
 
     def setUp(self) -> None:
-        self.pool = Channels(Watchdog())
+        self.pool = ChannelPool(Watchdog())
 
     async def fill(self, count: int, idle_s: float) -> list[FakeChannel]:
         pooled = [FakeChannel() for _ in range(count)]
@@ -54,7 +54,7 @@
                     acquired.append(None)
 
         async with anyio.create_task_group() as group:
-            group.start_soon(self.pool.tidy)
+            group.start_soon(self.pool.close_expired)
             group.start_soon(acquire)
         self.assertEqual([channel.closed for channel in pooled], [1] * 6)
 
@@ -67,7 +67,7 @@
         self.assertIsInstance(await self.pool.acquire(SERVER), FakeChannel)
 
     async def test_distrusted_server_has_no_pool(self) -> None:
-        self.pool.distrust(SERVER)
+        self.pool.record_unexpected_data(SERVER)
         (channel,) = await self.fill(1, 60.0)
         self.assertEqual(channel.closed, 1)
 
