--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -470,7 +470,7 @@
         )
 
     def _resume_token(self, attempt: Attempt, base_tokens: int) -> str:
-        return self._context.signer.stream_word(
+        return self._context.signer.signed_prefix(
             ResumePoint(
                 self._placement.organisation.name,
                 self._request.digest[:DIGEST_CHARS],
--- a/src/jasminerelay/resume.py
+++ b/src/jasminerelay/resume.py
@@ -54,7 +54,7 @@
             signer_kwargs={"digest_method": hashlib.sha256},
         )
 
-    def stream_word(self, point: ResumePoint) -> str:
+    def signed_prefix(self, point: ResumePoint) -> str:
         """Returns the signed prefix that all resume points of an attempt share.
 
         The offset is appended unsigned: signing for each token would cost more
@@ -85,7 +85,7 @@
         point = ResumePoint(*fields, int(offset))
         # The decoder ignores invalid characters, so an altered prefix could
         # pass verification; only the exact encoding is accepted.
-        if self.stream_word(point) != signed:
+        if self.signed_prefix(point) != signed:
             return Err("it was altered")
         return Ok(point)
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -144,7 +144,7 @@
     def setUp(self) -> None:
         self.signer = Signer(SECRET)
         self.point = ResumePoint("org", "digest", "server", "try", "id", 3, 9)
-        self.text = f"{self.signer.stream_word(self.point)}:9"
+        self.text = f"{self.signer.signed_prefix(self.point)}:9"
 
     def test_round_trip(self) -> None:
         self.assertEqual(self.signer.read_point(self.text).unwrap(), self.point)
