--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -60,7 +60,7 @@
 from jasminerelay.schema.messages import Member, Snapshot
 from jasminerelay.schema.settings import Statsd
 from jasminerelay.sharedbudget import SharedRetryBudget
-from jasminerelay.stopping import Stop
+from jasminerelay.stopping import PlannedShutdown
 from jasminerelay.telemetry import Telemetry
 from jasminerelay.watchdog import Watchdog
 
@@ -112,7 +112,7 @@
         self.boot = boot
         self._path = path
         self._rng = random.Random()
-        self._planned_stop: Stop | None = None
+        self._planned_stop: PlannedShutdown | None = None
         self._ready = False
         self.running = False
         self.log = EventLog(boot.name)
@@ -474,7 +474,7 @@
     def _accepts(self, time_limit_s: float) -> bool:
         if self._planned_stop is None:
             return True
-        return self._planned_stop.takes(time_limit_s, time.monotonic())
+        return self._planned_stop.accepts(time_limit_s, time.monotonic())
 
     def _entries(self, zone: str) -> list[Member]:
         membership = self._peers.membership
@@ -563,7 +563,9 @@
 
     def stop(self) -> None:
         """Starts the planned stop."""
-        self._planned_stop = Stop(time.monotonic(), self.boot.grace_s)
+        self._planned_stop = PlannedShutdown(
+            time.monotonic(), self.boot.grace_s
+        )
         self.log.trouble("stopping", under_way=self._requests_in_flight())
         self._peers.leave()
         if self._duties is not None:
@@ -574,7 +576,7 @@
             await anyio.sleep(TICK_S)
             if self._planned_stop is None:
                 continue
-            if self._planned_stop.over(
+            if self._planned_stop.finished(
                 self._requests_in_flight(), time.monotonic()
             ):
                 break
--- a/src/jasminerelay/stopping.py
+++ b/src/jasminerelay/stopping.py
@@ -24,32 +24,32 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Stop:
+class PlannedShutdown:
     """A planned shutdown in progress.
 
     Attributes:
-        began: Monotonic time of the signal.
+        started_at: Monotonic time of the signal.
         grace_s: Time until the process is killed.
     """
 
-    began: float
+    started_at: float
     grace_s: float
 
     @property
     def exit_by(self) -> float:
         """Monotonic time by which the process must have exited."""
-        return self.began + self.grace_s - EXIT_MARGIN_S
+        return self.started_at + self.grace_s - EXIT_MARGIN_S
 
-    def takes(self, limit_s: float, now: float) -> bool:
+    def accepts(self, limit_s: float, now: float) -> bool:
         """Returns whether a request with this time limit is still accepted."""
         accept_all_s = min(ACCEPT_ALL_S, self.grace_s / 3)
-        if now - self.began < accept_all_s:
+        if now - self.started_at < accept_all_s:
             return True
         return now + limit_s < self.exit_by
 
-    def over(self, under_way: int, now: float) -> bool:
+    def finished(self, under_way: int, now: float) -> bool:
         """Returns whether the process should exit now."""
         if now >= self.exit_by:
             return True
         min_stay_s = self.grace_s * MIN_STAY_SHARE
-        return under_way == 0 and now - self.began >= min_stay_s
+        return under_way == 0 and now - self.started_at >= min_stay_s
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -7,7 +7,7 @@
 from jasminerelay.responsemonitor import ResponseMonitor
 from jasminerelay.schema.messages import ServerLoad
 from jasminerelay.sharedbudget import SharedRetryBudget
-from jasminerelay.stopping import Stop
+from jasminerelay.stopping import PlannedShutdown
 from jasminerelay.tokentimes import MIN_TIMES, TokenTimes
 from jasminerelay.workload import (
     PEER_LOAD_MAX_AGE_S,
@@ -124,18 +124,18 @@
     """A planned stop of an instance."""
 
     def test_accepts_requests_that_can_finish(self) -> None:
-        stop = Stop(0.0, 8.0)
-        self.assertTrue(stop.takes(15.0, 1.0))
-        self.assertFalse(stop.takes(15.0, 3.8))
-        self.assertTrue(stop.takes(2.0, 4.0))
-        self.assertFalse(stop.takes(2.0, 6.0))
+        stop = PlannedShutdown(0.0, 8.0)
+        self.assertTrue(stop.accepts(15.0, 1.0))
+        self.assertFalse(stop.accepts(15.0, 3.8))
+        self.assertTrue(stop.accepts(2.0, 4.0))
+        self.assertFalse(stop.accepts(2.0, 6.0))
 
     def test_stops_before_it_is_killed(self) -> None:
-        stop = Stop(0.0, 8.0)
-        self.assertFalse(stop.over(0, 2.0))
-        self.assertTrue(stop.over(0, 6.5))
-        self.assertFalse(stop.over(3, 6.5))
-        self.assertTrue(stop.over(3, 7.5))
+        stop = PlannedShutdown(0.0, 8.0)
+        self.assertFalse(stop.finished(0, 2.0))
+        self.assertTrue(stop.finished(0, 6.5))
+        self.assertFalse(stop.finished(3, 6.5))
+        self.assertTrue(stop.finished(3, 7.5))
 
 
 class TokenTimesTest(unittest.TestCase):
