--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -111,13 +111,13 @@
 
     registry = Registry(lambda data: None, decode)
     rows = [ServerRow(f"i-{n:010x}", n + 1, b"x") for n in range(servers)]
-    registry.take_changes(rows, servers)
+    registry.apply_changes(rows, servers)
     versions = iter(range(servers + 1, 1 << 30))
 
     def part() -> None:
         version = next(versions)
         row = ServerRow("i-0000000000", version, b"x")
-        registry.take_changes([row], version)
+        registry.apply_changes([row], version)
 
     return part
 
--- a/src/jasminerelay/cells.py
+++ b/src/jasminerelay/cells.py
@@ -85,14 +85,14 @@
     @property
     def exists(self) -> bool:
         """Whether the service has this cell."""
-        ids = self._registry.ids_of(self._service)
+        ids = self._registry.server_ids_of(self._service)
         return 0 <= self._cell < len(cells_of(ids))
 
     def servers_of(self, service: str) -> list[BackendServer]:
         """Returns the cell's servers that accept new requests."""
         if service != self._service:
             return []
-        split = cells_of(self._registry.ids_of(service))
+        split = cells_of(self._registry.server_ids_of(service))
         if self._cell >= len(split):
             return []
         found = (self._registry.server(name) for name in split[self._cell])
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -21,7 +21,7 @@
 from jasminerelay.groups import TotalDemand
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.metrics import Counters
-from jasminerelay.registry import Registry, Touch
+from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import (
     DutyWord,
     KindDemand,
@@ -218,7 +218,7 @@
             1, len(self._members)
         ):
             return None
-        if self._registry.standing.touch is Touch.LOST:
+        if self._registry.standing.touch is StoreStatus.UNREACHABLE:
             return None
         demand = self._demand.total(service, time.monotonic())
         return sum(item.work for item in demand)
--- a/src/jasminerelay/following.py
+++ b/src/jasminerelay/following.py
@@ -396,7 +396,7 @@
     ) -> None:
         """Applies a configuration from the store or from another instance."""
         try:
-            applied = self._registry.take_configuration(version, data)
+            applied = self._registry.apply_configuration(version, data)
         except ValueError as exc:
             # The current configuration stays in force; an unreadable one is
             # never applied in part.
@@ -423,12 +423,12 @@
         """Applies a full read of the servers' rows; ignores an older one."""
         if page.version < self._registry.servers_version:
             return False
-        self._apply(page, self._registry.take_all)
+        self._apply(page, self._registry.apply_full_read)
         return True
 
     def take_servers(self, page: Page) -> None:
         """Applies changed servers' rows."""
-        self._apply(page, self._registry.take_changes)
+        self._apply(page, self._registry.apply_changes)
 
     def _apply(self, page: Page, apply: Callable) -> None:
         changes = apply(page.rows, page.version)
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -33,7 +33,7 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
 from jasminerelay.placementclient import PlacementClient
-from jasminerelay.registry import Registry, Touch
+from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import (
     CrashWord,
     DutyWord,
@@ -261,7 +261,7 @@
     def without_store(self) -> list[str]:
         """Returns the instances that lost the store; may include this one."""
         lost = self.standings.without_store()
-        if self._registry.standing.touch == Touch.LOST:
+        if self._registry.standing.touch == StoreStatus.UNREACHABLE:
             lost.append(self.membership.own.instance)
         return lost
 
@@ -398,7 +398,7 @@
         self._dispatcher.engine_models.add_peer_samples(message.samples, now)
         if self._owned is not None:
             self._owned.queues.update(message.queues, now)
-            if message.standing.touch != Touch.LOST:
+            if message.standing.touch != StoreStatus.UNREACHABLE:
                 self._followers.heard(message.sender, now)
         if message.gossip is not None:
             self._send_all(self.membership.receive(message.gossip, now))
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -271,7 +271,7 @@
     ) -> _PendingRequest | None:
         if not self.active or not self._has_owners(call.service):
             return None
-        count = len(cells.cells_of(self._registry.ids_of(call.service)))
+        count = len(cells.cells_of(self._registry.server_ids_of(call.service)))
         if not count:
             return None
         shared = call.prompt.shared if call.prompt is not None else ()
@@ -527,7 +527,7 @@
         server = self._registry.server(name)
         if server is None or not self._has_owners(server.service):
             return None
-        ids = self._registry.ids_of(server.service)
+        ids = self._registry.server_ids_of(server.service)
         number = cells.cell_number(name, ids)
         return None if number is None else (server.service, number)
 
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -419,7 +419,7 @@
 
     def _merge_snapshot(self, snapshot: Snapshot, peer: str) -> None:
         try:
-            changes = self.registry.adopt(snapshot)
+            changes = self.registry.merge_snapshot(snapshot)
         except ValueError as exc:
             self.log.trouble("snapshot_unreadable", peer=peer, why=str(exc))
             return
@@ -467,7 +467,7 @@
         """
         if self._freshness.age_s(now_s()) > CURRENT_S:
             return False
-        if self.registry.misses_configuration:
+        if self.registry.has_unreadable_configuration:
             return False
         return not self._peers.standings.knows_newer(time.monotonic())
 
--- a/src/jasminerelay/registry.py
+++ b/src/jasminerelay/registry.py
@@ -36,11 +36,11 @@
 ServerDecoder = Callable[[str, bytes], BackendServer]
 
 
-class Touch(enum.IntEnum):
+class StoreStatus(enum.IntEnum):
     """Whether an instance reaches the store, as reported to other instances."""
 
-    LOST = 0
-    THERE = 1
+    UNREACHABLE = 0
+    REACHABLE = 1
     SETTLED = 2
     """Reachable for long enough that a server without a row has left."""
 
@@ -117,7 +117,7 @@
             collections.OrderedDict()
         )
         self._unreadable_rows: dict[str, int] = {}
-        self._store_contact = Touch.THERE
+        self._store_contact = StoreStatus.REACHABLE
         self._store_reachable_since: float | None = None
         self._had_outage = False
         self._settled_list_version = 0
@@ -136,7 +136,7 @@
         return self.catalog is not None and self._servers_received
 
     @property
-    def misses_configuration(self) -> bool:
+    def has_unreadable_configuration(self) -> bool:
         """Whether a newer configuration exists that cannot be decoded here."""
         return self._unreadable_configuration_version > self._configuration[0]
 
@@ -159,7 +159,7 @@
         """Returns the servers of a service that accept new requests."""
         return self._by_service.get(service, [])
 
-    def ids_of(self, service: str) -> tuple[str, ...]:
+    def server_ids_of(self, service: str) -> tuple[str, ...]:
         """Returns the sorted ids of a service's servers that take requests."""
         return self._ids.get(service, ())
 
@@ -178,7 +178,7 @@
         """Returns all servers, including draining servers."""
         return [held.server for held in self._entries.values()]
 
-    def take_configuration(self, version: int, data: bytes) -> bool:
+    def apply_configuration(self, version: int, data: bytes) -> bool:
         """Applies a configuration; returns whether it replaced the current one.
 
         An older configuration is ignored: within the life of a process the
@@ -198,7 +198,7 @@
         self.catalog = catalog
         return True
 
-    def take_changes(
+    def apply_changes(
         self, rows: Iterable[ServerRow], version: int
     ) -> list[ServerChange]:
         """Applies changed rows in the store's order; returns their effects.
@@ -233,7 +233,7 @@
         self._rebuild()
         return changes
 
-    def take_all(
+    def apply_full_read(
         self, rows: Iterable[ServerRow], version: int
     ) -> list[ServerChange]:
         """Applies a full read of the table; returns the effects.
@@ -255,7 +255,7 @@
 
     def mark_store_unreachable(self) -> None:
         """Records that the store is unreachable."""
-        self._store_contact = Touch.LOST
+        self._store_contact = StoreStatus.UNREACHABLE
         self._store_reachable_since = None
         self._had_outage = True
 
@@ -263,7 +263,7 @@
         """Records that the store is reachable, for the first time or again."""
         if self._store_reachable_since is not None:
             return
-        self._store_contact = Touch.THERE
+        self._store_contact = StoreStatus.REACHABLE
         self._store_reachable_since = now
 
     def expire(self, now: float) -> list[BackendServer]:
@@ -271,7 +271,7 @@
         since = self._store_reachable_since
         if since is None or now < since + RETURN_GRACE_S:
             return []
-        self._store_contact = Touch.SETTLED
+        self._store_contact = StoreStatus.SETTLED
         lapsed = [self._entries.pop(name) for name in self._lapsed]
         for held in lapsed:
             self._record_removal(held.row.id, self._servers_version)
@@ -294,7 +294,7 @@
             and other.servers_digest != self._digest
         ):
             return True
-        return other.touch == Touch.SETTLED and self._needs_settled_list(
+        return other.touch == StoreStatus.SETTLED and self._needs_settled_list(
             other.servers_version
         )
 
@@ -339,20 +339,20 @@
                 for name, held in self._entries.items()
                 if name not in self._lapsed and held.row.version > since
             ],
-            self._store_contact is Touch.SETTLED,
+            self._store_contact is StoreStatus.SETTLED,
             since,
             gone if since else [],
             self._digest,
         )
 
-    def adopt(self, snapshot: Snapshot) -> list[ServerChange]:
+    def merge_snapshot(self, snapshot: Snapshot) -> list[ServerChange]:
         """Merges another instance's snapshot where it is newer.
 
         Raises:
             ValueError: if its configuration cannot be decoded.
         """
         if snapshot.configuration:
-            self.take_configuration(
+            self.apply_configuration(
                 snapshot.configuration_version, snapshot.configuration
             )
         if snapshot.since:
@@ -360,10 +360,10 @@
         changes = self._apply_settled_list(snapshot) if snapshot.settled else []
         version = snapshot.servers_version
         if self._digest_mismatch and version == self._servers_version:
-            changes += self.take_all(snapshot.servers, version)
+            changes += self.apply_full_read(snapshot.servers, version)
         self._digest_mismatch = False
         if version > self._servers_version:
-            changes += self.take_all(snapshot.servers, version)
+            changes += self.apply_full_read(snapshot.servers, version)
         return changes
 
     def _merge_changes(self, snapshot: Snapshot) -> list[ServerChange]:
@@ -479,7 +479,7 @@
         # to renew its row, or until another instance's settled list shows that
         # it has left.
         in_outage = (
-            self._had_outage and self._store_contact is not Touch.SETTLED
+            self._had_outage and self._store_contact is not StoreStatus.SETTLED
         )
         if in_outage and not held.server.draining:
             if row.id in self._lapsed:
--- a/src/jasminerelay/standings.py
+++ b/src/jasminerelay/standings.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection
 
 from jasminerelay.freshness import Freshness
-from jasminerelay.registry import Registry, Touch
+from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import Standing
 
 FETCH_DELAY_S = 0.25
@@ -60,17 +60,17 @@
 
     def reports_store_loss(self, sender: str, standing: Standing) -> bool:
         """Returns whether a sender newly reports that it has lost the store."""
-        if standing.touch != Touch.LOST:
+        if standing.touch != StoreStatus.UNREACHABLE:
             return False
         report = self._reports.get(sender)
-        return report is None or report[1].touch != Touch.LOST
+        return report is None or report[1].touch != StoreStatus.UNREACHABLE
 
     def without_store(self) -> list[str]:
         """Returns the other instances that have lost the store."""
         return [
             name
             for name, (_, standing) in self._reports.items()
-            if standing.touch == Touch.LOST
+            if standing.touch == StoreStatus.UNREACHABLE
         ]
 
     def knows_newer(self, now: float) -> bool:
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -13,7 +13,7 @@
 from jasminerelay.errors import StoreError
 from jasminerelay.fencing import Lease, LeaseRow
 from jasminerelay.leasing import LeaseKeeper
-from jasminerelay.registry import Touch
+from jasminerelay.registry import StoreStatus
 from jasminerelay.scaling import Order
 from jasminerelay.schema.messages import Member
 from jasminerelay.trueclock import TrueClock
@@ -269,7 +269,8 @@
         )
         ledger = UsageLedger()
         registry = types.SimpleNamespace(
-            catalog=None, standing=types.SimpleNamespace(touch=Touch.THERE)
+            catalog=None,
+            standing=types.SimpleNamespace(touch=StoreStatus.REACHABLE),
         )
         watch = Duties(
             Member(name, "", "", "", "", name, "alive", 0),
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -553,7 +553,7 @@
     Safeguard(
         "no final refusal under an unreadable configuration",
         "platform/root",
-        "        if self.registry.misses_configuration:\n",
+        "        if self.registry.has_unreadable_configuration:\n",
         "        if False:\n",
         "test_silentstore.SilentStoreTest.test_configuration_that_cannot_be_read",
     ),
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -93,8 +93,8 @@
             }
         ],
     }
-    found.take_configuration(1, msgspec.json.encode(configuration))
-    found.take_all(server_rows(servers), 2)
+    found.apply_configuration(1, msgspec.json.encode(configuration))
+    found.apply_full_read(server_rows(servers), 2)
     return found
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -50,8 +50,8 @@
             }
         ],
     }
-    registry.take_configuration(1, msgspec.json.encode(configuration))
-    registry.take_all(server_rows(servers), 2)
+    registry.apply_configuration(1, msgspec.json.encode(configuration))
+    registry.apply_full_read(server_rows(servers), 2)
     return Dispatcher(registry, "z", lambda: 1)
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -280,16 +280,16 @@
         return types.SimpleNamespace(version=int(data))
 
     def test_configuration_never_goes_back(self) -> None:
-        self.assertTrue(self.registry.take_configuration(5, b"7"))
-        self.assertFalse(self.registry.take_configuration(4, b"6"))
-        self.assertFalse(self.registry.take_configuration(6, b"6"))
+        self.assertTrue(self.registry.apply_configuration(5, b"7"))
+        self.assertFalse(self.registry.apply_configuration(4, b"6"))
+        self.assertFalse(self.registry.apply_configuration(6, b"6"))
         self.assertEqual(self.registry.catalog.version, 7)
 
     def test_unreadable_configuration_changes_nothing(self) -> None:
-        self.registry.take_configuration(1, b"1")
+        self.registry.apply_configuration(1, b"1")
         with self.assertRaises(ValueError):
-            self.registry.take_configuration(2, b"?")
-        self.assertTrue(self.registry.take_configuration(3, b"3"))
+            self.registry.apply_configuration(2, b"?")
+        self.assertTrue(self.registry.apply_configuration(3, b"3"))
 
     def test_rows_lapsed_during_outage(self) -> None:
         # Guards against an empty pool after a store outage: servers could not
@@ -297,14 +297,14 @@
         # Servers that renew in time are used without a gap; the others are
         # removed.
         for name in "ab":
-            self.registry.take_changes([ServerRow(name, 1, b"pool:ready")], 1)
+            self.registry.apply_changes([ServerRow(name, 1, b"pool:ready")], 1)
         self.registry.mark_store_unreachable()
         gone = [ServerRow(name, 2, None) for name in "ab"]
-        self.registry.take_changes(gone, 2)
+        self.registry.apply_changes(gone, 2)
         self.assertEqual(len(self.registry.servers_of("pool")), 2)
         self.registry.mark_store_reachable(10.0)
         self.assertEqual(self.registry.expire(10.0 + RETURN_GRACE_S / 2), [])
-        self.registry.take_changes([ServerRow("a", 3, b"pool:ready")], 3)
+        self.registry.apply_changes([ServerRow("a", 3, b"pool:ready")], 3)
         gone = self.registry.expire(10.1 + RETURN_GRACE_S)
         self.assertEqual([server.id for server in gone], ["b"])
         left = [server.id for server in self.registry.servers_of("pool")]
@@ -312,8 +312,8 @@
 
     def test_removed_row_without_outage(self) -> None:
         # While the store is reachable a removed row means a server that leaves.
-        self.registry.take_changes([ServerRow("a", 1, b"pool:ready")], 1)
-        self.registry.take_changes([ServerRow("a", 2, None)], 2)
+        self.registry.apply_changes([ServerRow("a", 1, b"pool:ready")], 1)
+        self.registry.apply_changes([ServerRow("a", 2, None)], 2)
         self.assertEqual(self.registry.servers(), [])
 
     def test_adopts_newer_only(self) -> None:
@@ -321,19 +321,19 @@
         # server leaves; an older message must not bring the server back.
         other = Registry(self._catalog, decode)
         for registry in (self.registry, other):
-            registry.take_changes([ServerRow("a", 1, b"pool:ready")], 1)
+            registry.apply_changes([ServerRow("a", 1, b"pool:ready")], 1)
         before = other.export_snapshot()
-        other.take_changes([ServerRow("a", 2, b"pool:leaving")], 2)
-        other.take_configuration(3, b"3")
-        self.registry.adopt(other.export_snapshot())
+        other.apply_changes([ServerRow("a", 2, b"pool:leaving")], 2)
+        other.apply_configuration(3, b"3")
+        self.registry.merge_snapshot(other.export_snapshot())
         self.assertTrue(self.registry.server("a").draining)
         self.assertEqual(self.registry.catalog.version, 3)
-        self.registry.adopt(before)
+        self.registry.merge_snapshot(before)
         self.assertTrue(self.registry.server("a").draining)
 
     def test_standing_digest_changes_with_rows(self) -> None:
         empty = self.registry.standing
-        self.registry.take_changes([ServerRow("a", 1, b"pool:ready")], 1)
+        self.registry.apply_changes([ServerRow("a", 1, b"pool:ready")], 1)
         self.assertNotEqual(
             empty.servers_digest, self.registry.standing.servers_digest
         )
@@ -360,7 +360,7 @@
         registry = Registry(lambda data: None, decode)
         registry.mark_store_reachable(0.0)
         rows = [ServerRow(name, 1, b"pool:ready") for name in "ab"]
-        registry.take_all(rows, 2)
+        registry.apply_full_read(rows, 2)
         return registry
 
     @staticmethod
@@ -370,10 +370,10 @@
     def merge_from(self, other: Registry) -> None:
         """Merges another instance's snapshot if it is newer."""
         if self.isolated.is_behind(other.standing):
-            self.isolated.adopt(other.export_snapshot())
+            self.isolated.merge_snapshot(other.export_snapshot())
 
     def test_removal_seen_by_a_connected_instance(self) -> None:
-        self.there.take_changes([ServerRow("a", 5, None)], 5)
+        self.there.apply_changes([ServerRow("a", 5, None)], 5)
         self.merge_from(self.there)
         self.assertEqual(self.usable_ids(self.isolated), ["b"])
 
@@ -384,7 +384,7 @@
         # settled, although nothing in it changed.
         self.there.mark_store_unreachable()
         self.there.mark_store_reachable(20.0)
-        self.there.take_changes([ServerRow("a", 5, None)], 5)
+        self.there.apply_changes([ServerRow("a", 5, None)], 5)
         self.merge_from(self.there)
         self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
         self.assertFalse(self.isolated.is_behind(self.there.standing))
@@ -396,10 +396,10 @@
         # The isolated instance receives no message until it reaches the store
         # again, and then reads all rows at a newer version than the others have
         # been notified of.
-        self.there.take_changes([ServerRow("a", 5, None)], 5)
+        self.there.apply_changes([ServerRow("a", 5, None)], 5)
         self.isolated.mark_store_reachable(20.0)
         rows = [ServerRow("b", 1, b"pool:ready")]
-        self.isolated.take_all(rows, 9)
+        self.isolated.apply_full_read(rows, 9)
         self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
         self.merge_from(self.there)
         self.assertEqual(self.usable_ids(self.isolated), ["b"])
@@ -407,22 +407,22 @@
     def test_list_from_before_the_removal(self) -> None:
         # The other instance has not received the removal yet. Its list decides
         # nothing, and is not fetched again until it is newer.
-        self.isolated.take_changes([ServerRow("a", 5, None)], 5)
+        self.isolated.apply_changes([ServerRow("a", 5, None)], 5)
         self.merge_from(self.there)
         self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
         self.assertFalse(self.isolated.is_behind(self.there.standing))
-        self.there.take_changes([ServerRow("a", 5, None)], 5)
+        self.there.apply_changes([ServerRow("a", 5, None)], 5)
         self.merge_from(self.there)
         self.assertEqual(self.usable_ids(self.isolated), ["b"])
 
     def test_row_newer_than_the_list(self) -> None:
         # A server started after the list was made, and its row lapsed: the list
         # cannot contain it.
-        self.isolated.take_changes([ServerRow("c", 7, b"pool:ready")], 7)
-        self.isolated.take_changes([ServerRow("c", 8, None)], 8)
-        self.there.take_changes([ServerRow("a", 5, None)], 5)
+        self.isolated.apply_changes([ServerRow("c", 7, b"pool:ready")], 7)
+        self.isolated.apply_changes([ServerRow("c", 8, None)], 8)
+        self.there.apply_changes([ServerRow("a", 5, None)], 5)
         self.assertFalse(self.isolated.is_behind(self.there.standing))
-        self.isolated.adopt(self.there.export_snapshot())
+        self.isolated.merge_snapshot(self.there.export_snapshot())
         self.assertEqual(self.usable_ids(self.isolated), ["a", "b", "c"])
 
     def test_list_of_a_fresh_instance_is_not_settled(self) -> None:
@@ -430,7 +430,7 @@
         # the row of a living server. Other instances keep that server.
         fresh = Registry(lambda data: None, decode)
         fresh.mark_store_reachable(20.0)
-        fresh.take_all([ServerRow("b", 1, b"pool:ready")], 9)
+        fresh.apply_full_read([ServerRow("b", 1, b"pool:ready")], 9)
         fresh.expire(20.1)
         self.merge_from(fresh)
         self.assertEqual(self.usable_ids(self.isolated), ["a", "b"])
@@ -444,8 +444,8 @@
         # removal. After the instance's return the store sends the changes since
         # its last call in order: the old row brought the server back, and its
         # removal was then taken for a lapse.
-        self.there.take_changes([ServerRow("a", 4, b"pool:ready")], 4)
-        self.there.take_changes([ServerRow("a", 5, None)], 5)
+        self.there.apply_changes([ServerRow("a", 4, b"pool:ready")], 4)
+        self.there.apply_changes([ServerRow("a", 5, None)], 5)
         self.merge_from(self.there)
         self.isolated.mark_store_reachable(20.0)
         history = [
@@ -454,7 +454,7 @@
             ServerRow("c", 6, b"pool:ready"),
             ServerRow("c", 7, None),
         ]
-        changes = self.isolated.take_changes(history, 8)
+        changes = self.isolated.apply_changes(history, 8)
         self.assertEqual(self.usable_ids(self.isolated), ["b"])
         self.assertEqual(changes, [])
 
@@ -462,10 +462,10 @@
         # The returned instance has read a newer version and still keeps a
         # server that the others removed. That is nothing new to the others, and
         # not worth a fetch by each of them.
-        self.there.take_changes([ServerRow("a", 5, None)], 5)
+        self.there.apply_changes([ServerRow("a", 5, None)], 5)
         self.isolated.mark_store_reachable(20.0)
         rows = [ServerRow("b", 1, b"pool:ready")]
-        self.isolated.take_all(rows, 9)
+        self.isolated.apply_full_read(rows, 9)
         self.assertFalse(self.there.is_behind(self.isolated.standing))
 
 
--- a/tests/test_missingservers.py
+++ b/tests/test_missingservers.py
@@ -10,7 +10,7 @@
 import random
 import unittest
 
-from jasminerelay.registry import Registry, Touch
+from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import ServerRow
 from tests.test_following import decode
 
@@ -95,7 +95,10 @@
     def process_message_from(self, other: "Instance", now: float) -> None:
         """Processes a message from another instance."""
         standing = other.registry.standing
-        if standing.touch == Touch.LOST and not self._reaches_store:
+        if (
+            standing.touch == StoreStatus.UNREACHABLE
+            and not self._reaches_store
+        ):
             self._notices_at = now
         if not self.registry.is_behind(standing):
             return
@@ -103,7 +106,7 @@
             self._behind_since = now
         if now - self._behind_since >= FETCH_S:
             self._behind_since = None
-            self.registry.adopt(other.registry.export_snapshot())
+            self.registry.merge_snapshot(other.registry.export_snapshot())
 
     def uses(self, name: str) -> bool:
         """Returns whether a server receives new work."""
@@ -121,7 +124,7 @@
         self.registry.mark_store_reachable(now)
         rows = self._store.after(self._after)
         if rows:
-            self.registry.take_changes(rows, self._store.version)
+            self.registry.apply_changes(rows, self._store.version)
         self._after = self._store.version
 
 
@@ -258,7 +261,7 @@
     def _settled_without(self, name: str) -> bool:
         """Returns whether some instance can decide that a server has left."""
         return any(
-            instance.registry.standing.touch == Touch.SETTLED
+            instance.registry.standing.touch == StoreStatus.SETTLED
             and not instance.uses(name)
             for instance in self._instances
         )
--- a/tests/test_platforminstances.py
+++ b/tests/test_platforminstances.py
@@ -12,7 +12,7 @@
 from jasminerelay.httpclient import NotSentError
 from jasminerelay.platform import root
 from jasminerelay.platform.root import REGISTER_PAUSE_S
-from jasminerelay.registry import Touch
+from jasminerelay.registry import StoreStatus
 from standins.platformsite import HOST, KEY, PLAIN, SiteOptions
 from tests.platformcase import WAIT_S, PlatformCase, events, fetch
 
@@ -95,7 +95,9 @@
             site.configure()
             for instance in (first, second):
                 await self.until(
-                    lambda i=instance: i.registry.standing.touch == Touch.LOST
+                    lambda i=instance: (
+                        i.registry.standing.touch == StoreStatus.UNREACHABLE
+                    )
                 )
             # Until then the store's last response counts as current.
             await anyio.sleep(root.CURRENT_S)
@@ -148,14 +150,18 @@
             site.links["edge-1"].reset()
             for instance in (first, second):
                 await self.until(
-                    lambda i=instance: i.registry.standing.touch == Touch.LOST
+                    lambda i=instance: (
+                        i.registry.standing.touch == StoreStatus.UNREACHABLE
+                    )
                 )
             for name in ("plain-1", "plain-2"):
                 site.store.drop("servers", name)
             site.store.faults.down = False
             for instance in (first, second):
                 await self.until(
-                    lambda i=instance: i.registry.standing.touch != Touch.LOST
+                    lambda i=instance: (
+                        i.registry.standing.touch != StoreStatus.UNREACHABLE
+                    )
                 )
                 self.assertEqual(len(instance.registry.servers_of(PLAIN)), 2)
                 answer = await self.ask(instance, "/confirm/x")
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -184,11 +184,11 @@
         # one; an older snapshot does not restore the former incarnation.
         here, there = registry(), registry()
         for known in (here, there):
-            known.take_changes([row(1)], 1)
+            known.apply_changes([row(1)], 1)
         old = there.export_snapshot()
-        there.take_changes([row(2, born=START + 900)], 2)
-        here.adopt(there.export_snapshot())
-        here.adopt(old)
+        there.apply_changes([row(2, born=START + 900)], 2)
+        here.merge_snapshot(there.export_snapshot())
+        here.merge_snapshot(old)
         (server,) = here.servers_of(POOL)
         self.assertEqual(server.id, f"a@{START + 900}")
 
@@ -205,7 +205,7 @@
         # requesting instance rejects as stale, and against ends of that server
         # that go unnoticed.
         known = registry()
-        known.take_changes([row(1)], 1)
+        known.apply_changes([row(1)], 1)
         (server,) = known.servers_of(POOL)
         self.assertEqual(known.server(server.id), server)
         self.assertIsNone(known.server(f"a@{START + 900}"))
@@ -341,7 +341,7 @@
     def test_snapshot_with_rows_that_cannot_be_read(self) -> None:
         known = registry()
         bad = ServerRow("b", 2, b"nonsense")
-        known.adopt(Snapshot(0, b"", 2, [row(1), bad]))
+        known.merge_snapshot(Snapshot(0, b"", 2, [row(1), bad]))
         self.assertEqual(len(known.servers_of(POOL)), 1)
 
 
@@ -350,12 +350,12 @@
 
     def test_ended_incarnation(self) -> None:
         known = registry()
-        (first,) = known.take_changes([row(1)], 1)
+        (first,) = known.apply_changes([row(1)], 1)
         self.assertIsNone(first.ended)
-        (again,) = known.take_changes([row(2, born=START + 1)], 2)
+        (again,) = known.apply_changes([row(2, born=START + 1)], 2)
         self.assertEqual(again.ended.id, f"a@{START}")
         self.assertIsInstance(again, ServerChange)
-        self.assertEqual(known.take_changes([row(3, born=START + 1)], 3), [])
+        self.assertEqual(known.apply_changes([row(3, born=START + 1)], 3), [])
 
     def test_removed_after_an_outage(self) -> None:
         # Guards against a stream that is cut when its server ends, although it
--- a/tests/test_snapshotchanges.py
+++ b/tests/test_snapshotchanges.py
@@ -40,7 +40,9 @@
 def registry(count: int = 0, version: int = 1) -> Registry:
     """Returns the registry of an instance that has read the store."""
     filled = Registry(documents.catalog, documents.server)
-    filled.take_all([row(f"s{n}", version) for n in range(count)], version)
+    filled.apply_full_read(
+        [row(f"s{n}", version) for n in range(count)], version
+    )
     return filled
 
 
@@ -61,30 +63,30 @@
         snapshot = self.sender.export_snapshot(
             0, self.receiver.delta_base_version
         )
-        self.receiver.adopt(snapshot)
+        self.receiver.merge_snapshot(snapshot)
         return snapshot
 
     def test_one_change_among_thousands_is_small(self) -> None:
         # Guards against sending all rows to each of hundreds of instances for
         # each change, which saturated links for seconds.
         sender, receiver = registry(SERVERS), registry(SERVERS)
-        sender.take_changes([row("s7", 2, phase="draining")], 2)
+        sender.apply_changes([row("s7", 2, phase="draining")], 2)
         snapshot = sender.export_snapshot(0, receiver.delta_base_version)
         self.assertLess(len(msgspec.msgpack.encode(snapshot)), MAX_BYTES)
-        receiver.adopt(snapshot)
+        receiver.merge_snapshot(snapshot)
         self.assertTrue(names(receiver)["s7"])
         self.assertEqual(len(names(receiver)), SERVERS)
 
     def test_removed_servers(self) -> None:
-        self.sender.take_changes([ServerRow("s1", 2, None)], 2)
+        self.sender.apply_changes([ServerRow("s1", 2, None)], 2)
         self.assertEqual(self.send_snapshot().servers, [])
         self.assertNotIn("s1", names(self.receiver))
 
     def test_returned_server_is_not_removed(self) -> None:
         # Guards against streams moved away from a server that has returned.
-        self.sender.take_changes([ServerRow("s1", 2, None)], 2)
+        self.sender.apply_changes([ServerRow("s1", 2, None)], 2)
         self.send_snapshot()
-        self.sender.take_changes([row("s1", 3)], 3)
+        self.sender.apply_changes([row("s1", 3)], 3)
         self.assertEqual(self.send_snapshot().gone, [])
         self.assertIn("s1", names(self.receiver))
 
@@ -96,12 +98,12 @@
     def test_forgotten_removal_causes_a_full_snapshot(self) -> None:
         # Guards against a server that stays in use for good, because its
         # removal is no longer sent to instances that fetch late.
-        self.sender.take_changes([ServerRow("s1", 2, None)], 2)
+        self.sender.apply_changes([ServerRow("s1", 2, None)], 2)
         for number in range(2000):
             name, version = f"x{number}", 3 + 2 * number
-            self.sender.take_changes([row(name, version)], version)
+            self.sender.apply_changes([row(name, version)], version)
             gone = ServerRow(name, version + 1, None)
-            self.sender.take_changes([gone], version + 1)
+            self.sender.apply_changes([gone], version + 1)
         snapshot = self.send_snapshot()
         self.assertEqual(snapshot.since, 0)
         self.assertEqual(names(self.receiver), names(self.sender))
@@ -109,9 +111,9 @@
     def test_missed_change_is_detected(self) -> None:
         # Guards against a change that was lost and stays unknown, because later
         # snapshots do not contain it.
-        self.sender.take_changes([row("s1", 2, phase="draining")], 2)
-        self.receiver.take_changes([], 2)
-        self.sender.take_changes([row("s2", 3, phase="draining")], 3)
+        self.sender.apply_changes([row("s1", 2, phase="draining")], 2)
+        self.receiver.apply_changes([], 2)
+        self.sender.apply_changes([row("s2", 3, phase="draining")], 3)
         self.send_snapshot()
         self.assertTrue(self.receiver.is_behind(self.sender.standing))
         self.assertEqual(self.receiver.delta_base_version, 0)
@@ -120,7 +122,7 @@
 
     def test_receiver_with_lapsed_rows_gets_all(self) -> None:
         self.receiver.mark_store_unreachable()
-        self.receiver.take_changes([ServerRow("s1", 2, None)], 2)
+        self.receiver.apply_changes([ServerRow("s1", 2, None)], 2)
         self.assertEqual(self.receiver.delta_base_version, 0)
 
     def test_any_changes_in_any_steps(self) -> None:
@@ -137,7 +139,7 @@
             else:
                 phase = rng.choice(("ready", "draining"))
                 change = row(name, version, phase=phase)
-            self.sender.take_changes([change], version)
+            self.sender.apply_changes([change], version)
             if rng.random() < 0.3:
                 self.send_snapshot()
         self.send_snapshot()
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -22,9 +22,9 @@
 def registry() -> Registry:
     """Returns the registry of an instance in a large platform."""
     filled = Registry(lambda data: types.SimpleNamespace(version=1), decode)
-    filled.take_configuration(7, CONFIGURATION)
+    filled.apply_configuration(7, CONFIGURATION)
     rows = [ServerRow(f"s{n}", 10 + n, b"pool:ready") for n in range(SERVERS)]
-    filled.take_all(rows, 10 + SERVERS)
+    filled.apply_full_read(rows, 10 + SERVERS)
     return filled
 
 
@@ -55,8 +55,8 @@
         receiver = Registry(
             lambda data: types.SimpleNamespace(version=1), decode
         )
-        receiver.take_configuration(7, CONFIGURATION)
-        receiver.adopt(msgspec.msgpack.decode(body, type=Snapshot))
+        receiver.apply_configuration(7, CONFIGURATION)
+        receiver.merge_snapshot(msgspec.msgpack.decode(body, type=Snapshot))
         self.assertEqual(len(receiver.servers()), SERVERS)
         self.assertEqual(receiver.standing.configuration_version, 7)
 
@@ -72,7 +72,7 @@
             )
             snapshot = decompressed(msgspec.msgpack.decode(body, type=Snapshot))
             self.assertEqual(snapshot.configuration, CONFIGURATION)
-            receiver.adopt(snapshot)
+            receiver.merge_snapshot(snapshot)
             self.assertEqual(receiver.standing.configuration_version, 7, query)
 
     async def test_changes_in_series_fit_the_links(self) -> None:
@@ -85,7 +85,7 @@
         ]
         data = msgspec.json.encode({"version": 7, "routes": routes})
         sender = Registry(lambda data: types.SimpleNamespace(version=1), decode)
-        sender.take_configuration(7, data)
+        sender.apply_configuration(7, data)
         body = await fetch(sender, "")
         self.assertLess(len(body), len(data) / 4)
         snapshot = decompressed(msgspec.msgpack.decode(body, type=Snapshot))
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -280,7 +280,7 @@
         if other is None or other.part != self.part:
             return
         await anyio.sleep(ANSWER_DELAY_S)
-        self.registry.adopt(other.registry.export_snapshot())
+        self.registry.merge_snapshot(other.registry.export_snapshot())
 
 
 class World:
