--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -23,14 +23,6 @@
 from jasminerelay.evacuation import Evacuator
 from jasminerelay.eventlog import Bridge, EventLog
 from jasminerelay.followers import Followers
-from jasminerelay.following import (
-    FAR_GATHER_S,
-    LEAD_WAIT_S,
-    Follower,
-    Manner,
-    RegistryFeed,
-    StoreState,
-)
 from jasminerelay.freshness import Freshness, now_s
 from jasminerelay.headbound import HeadBounds
 from jasminerelay.httpclient import Client
@@ -61,6 +53,14 @@
 from jasminerelay.schema.settings import Statsd
 from jasminerelay.sharedbudget import SharedRetryBudget
 from jasminerelay.stopping import PlannedShutdown
+from jasminerelay.storefollowing import (
+    INDIRECT_BATCH_PAUSE_S,
+    LEADER_LONG_POLL_S,
+    FollowMode,
+    RegistryFeed,
+    StoreMonitor,
+    TableFollower,
+)
 from jasminerelay.telemetry import Telemetry
 from jasminerelay.watchdog import Watchdog
 
@@ -198,13 +198,13 @@
             )
             group.start_soon(
                 self._configuration_follower.run,
-                self._registry_feed.take_configuration,
-                self._registry_feed.take_configuration,
+                self._registry_feed.apply_operator_rows,
+                self._registry_feed.apply_operator_rows,
             )
             group.start_soon(
                 self._servers_follower.run,
-                self._registry_feed.take_all_servers,
-                self._registry_feed.take_servers,
+                self._registry_feed.apply_all_servers,
+                self._registry_feed.apply_server_changes,
             )
             await self._wait_for_stop()
             group.cancel_scope.cancel()
@@ -217,31 +217,35 @@
         self.client = Client(self._watchdog, keepalive=True)
         store = self._store = Store(self.client, boot.store)
         self._freshness = Freshness((OPERATOR_TABLE, SERVERS_TABLE))
-        self._store_state = StoreState(self.registry, self._freshness, self.log)
+        self._store_state = StoreMonitor(
+            self.registry, self._freshness, self.log
+        )
         self._registry_feed = RegistryFeed(
             self.registry, CONFIGURATION_KEY, self.counters, self.log
         )
         self._instance_table = InstanceTable(store, boot.ip, self.log)
         self._crash_table = CrashTable(store, self.log)
         self._configuration_follower = self._new_follower(
-            store, OPERATOR_TABLE, leader_mode=Manner(wait_s=LEAD_WAIT_S)
+            store,
+            OPERATOR_TABLE,
+            leader_mode=FollowMode(wait_s=LEADER_LONG_POLL_S),
         )
         self._servers_follower = self._new_follower(
-            store, SERVERS_TABLE, leader_mode=Manner()
+            store, SERVERS_TABLE, leader_mode=FollowMode()
         )
 
     def _new_follower(
-        self, store: Store, table: str, *, leader_mode: Manner
-    ) -> Follower:
-        close_mode = Manner()
-        relaxed_mode = Manner(gather_s=FAR_GATHER_S)
+        self, store: Store, table: str, *, leader_mode: FollowMode
+    ) -> TableFollower:
+        close_mode = FollowMode()
+        relaxed_mode = FollowMode(batch_pause_s=INDIRECT_BATCH_PAUSE_S)
 
-        def current_mode() -> Manner:
+        def current_mode() -> FollowMode:
             if self._follower_role.leads:
                 return leader_mode
             return close_mode if self._follower_role.closely() else relaxed_mode
 
-        return Follower(
+        return TableFollower(
             table,
             TableSource(store, table),
             self._store_state,
@@ -285,7 +289,7 @@
         self._peers.meet(set(boot.seeds))
         self._peers.on_snapshot = self._merge_snapshot
         self._peers.on_store_lost = self._store_state.check
-        self._store_state.on_news = self._peers.tell_news
+        self._store_state.on_confirmed_or_lost = self._peers.tell_news
         self._placement_queue = PlacementQueue(
             self.dispatcher.place,
             self.dispatcher.expect,
@@ -353,7 +357,7 @@
         dialect = PlatformDialect()
         evacuator = Evacuator(self.client, dialect, self.counters, self.log)
         self._registry_feed.on_leaving = evacuator.leaving
-        self._registry_feed.on_gone = self._on_server_removed
+        self._registry_feed.on_removed = self._on_server_removed
         self._registry_feed.on_changed = self._peers.tell_standing
         kit = Kit(
             self.dispatcher,
@@ -423,7 +427,7 @@
         except ValueError as exc:
             self.log.trouble("snapshot_unreadable", peer=peer, why=str(exc))
             return
-        self._registry_feed.report(changes, peer)
+        self._registry_feed.report_changes(changes, peer)
         self._peers.tell_standing()
         self.log.trouble(
             "snapshot",
@@ -451,7 +455,7 @@
             "configuration": catalog.version if catalog else 0,
             "servers_version": self.registry.servers_version,
             "store_age_s": round(
-                time.monotonic() - self._store_state.answered, 2
+                time.monotonic() - self._store_state.last_answer_at, 2
             ),
             "instances": self._peers.count,
             "knowledge_age_s": round(self._freshness.age_s(now_s()), 2),
@@ -502,7 +506,7 @@
             self.dispatcher.tick(now)
             self._owned_cells.tick(now)
             self._update_instances()
-            self._store_state.renew_after(
+            self._store_state.abort_waits_if_older(
                 self._follower_role.patience_s(lags=self._freshness.lags)
             )
             self._retry_budget.record_instance_count(self._peers.known, now)
@@ -542,7 +546,7 @@
                     registered = True
                     await anyio.sleep(REGISTER_PAUSE_S)
                 self._peers.meet(await self._instance_table.addresses())
-                self._store_state.worked("instances")
+                self._store_state.succeeded("instances")
                 await anyio.sleep(INSTANCES_POLL_S)
             except StoreError as exc:
                 self._store_state.failed("instances", exc.message)
--- a/src/jasminerelay/platform/storeclient.py
+++ b/src/jasminerelay/platform/storeclient.py
@@ -10,7 +10,6 @@
 import msgspec
 
 from jasminerelay.errors import StoreError
-from jasminerelay.following import HistoryGoneError, Page
 from jasminerelay.freshness import now_s
 from jasminerelay.httpclient import (
     BrokenError,
@@ -20,6 +19,7 @@
     Reply,
 )
 from jasminerelay.schema.messages import ServerRow
+from jasminerelay.storefollowing import HistoryGoneError, TablePage
 
 RETRY_S = 0.5
 """Retry-After of a failed call to the store."""
@@ -126,7 +126,7 @@
         """
         return now_s() + self._max_clock_offset_s
 
-    async def read(self, table: str) -> Page:
+    async def read(self, table: str) -> TablePage:
         """Returns all rows of a table's unnamed partition.
 
         Reads the pages one after another. The returned version is that of the
@@ -145,10 +145,12 @@
             rows += [_row(item) for item in response.rows]
             version = response.version if version is None else version
             if not response.more or not response.rows:
-                return Page(tuple(rows), version, response.now_ms / MS_PER_S)
+                return TablePage(
+                    tuple(rows), version, response.now_ms / MS_PER_S
+                )
             source = response.rows[-1].key + "\x00"
 
-    async def changes(self, table: str, after: int, wait_s: float) -> Page:
+    async def changes(self, table: str, after: int, wait_s: float) -> TablePage:
         """Waits for rows of a table that changed after a version.
 
         Raises:
@@ -158,7 +160,7 @@
         response = await self._get(
             "/-/rows-feed", query, wait_s + CALL_TIMEOUT_S
         )
-        return Page(
+        return TablePage(
             tuple(_row(item) for item in response.rows), response.version
         )
 
--- a/src/jasminerelay/platform/tables.py
+++ b/src/jasminerelay/platform/tables.py
@@ -8,9 +8,9 @@
 
 from jasminerelay.eventlog import EventLog
 from jasminerelay.fencing import LeaseRow
-from jasminerelay.following import Page
 from jasminerelay.platform.storeclient import Condition, NewRow, Store
 from jasminerelay.schema.messages import ServerEnds, ServerRow
+from jasminerelay.storefollowing import TablePage
 from jasminerelay.usage import Report
 
 OPERATOR_TABLE = "op"
@@ -35,11 +35,11 @@
         self._store = store
         self._table = table
 
-    async def read(self) -> Page:
+    async def read(self) -> TablePage:
         """Returns all rows."""
         return await self._store.read(self._table)
 
-    async def changes(self, after: int, wait_s: float) -> Page:
+    async def changes(self, after: int, wait_s: float) -> TablePage:
         """Waits for rows that changed after a version."""
         return await self._store.changes(self._table, after, wait_s)
 
--- a/src/jasminerelay/following.py
+++ b/src/jasminerelay/storefollowing.py
@@ -22,7 +22,7 @@
 minute at most. Longer waits save calls. A call without an answer does not prove
 that nothing has changed; the age of the data decides when to ask again."""
 
-LEAD_WAIT_S = 0.9
+LEADER_LONG_POLL_S = 0.9
 """The wait of the leading instance, which has the store confirm the data for
 all: its calls return often, with or without rows, and each answer is a
 confirmation."""
@@ -40,11 +40,11 @@
 replaced change in series, and one call then returns several rows. The pause
 delays the news of a leaving server, which must be known within two seconds."""
 
-FAR_GATHER_S = 5.0
+INDIRECT_BATCH_PAUSE_S = 5.0
 """The same pause on an instance to which other instances forward changes.
 Servers that start one after the other cause changes for about this long."""
 
-CHECK_AGE_S = 1.0
+MIN_RECHECK_AGE_S = 1.0
 """Minimum age of the store's last answer before it is asked again because
 another instance has lost it. Many instances may lose it within a second; one
 call answers them all."""
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Page:
+class TablePage:
     """Rows as of one version of the store.
 
     Attributes:
@@ -75,19 +75,19 @@
 class TableSource(Protocol):
     """A table of the store."""
 
-    async def read(self) -> Page:
+    async def read(self) -> TablePage:
         """Returns all rows."""
 
-    async def changes(self, after: int, wait_s: float) -> Page:
+    async def changes(self, after: int, wait_s: float) -> TablePage:
         """Waits up to `wait_s` for rows that changed after a version."""
 
 
-class StoreState:
+class StoreMonitor:
     """Tracks whether the store answers the calls of this instance.
 
     Attributes:
-        answered: Monotonic time of the store's last answer to any call.
-        on_news: Called when the store itself has confirmed the data up to a
+        last_answer_at: Monotonic time of the store's last answer to any call.
+        on_confirmed_or_lost: Called when the store itself has confirmed the data up to a
             later moment, and when the store becomes unreachable.
     """
 
@@ -98,8 +98,8 @@
         self._failing_calls: set[str] = set()
         self._abort_waits = anyio.Event()
         self._aborted_at = float("-inf")
-        self.answered = float("-inf")
-        self.on_news: Callable[[], None] = lambda: None
+        self.last_answer_at = float("-inf")
+        self.on_confirmed_or_lost: Callable[[], None] = lambda: None
 
     @property
     def lost(self) -> bool:
@@ -126,20 +126,20 @@
                 "dependency_lost",
                 name="store",
                 call=call,
-                answered_s=round(time.monotonic() - self.answered, 2),
+                answered_s=round(time.monotonic() - self.last_answer_at, 2),
                 why=why,
             )
             self._abort_waiting_calls()
-            self.on_news()
+            self.on_confirmed_or_lost()
 
-    def worked(self, call: str) -> None:
+    def succeeded(self, call: str) -> None:
         """Records a successful call.
 
         Args:
             call: The kind of call.
         """
         now = time.monotonic()
-        self.answered = now
+        self.last_answer_at = now
         was_lost = bool(self._failing_calls)
         self._failing_calls.discard(call)
         if self._failing_calls:
@@ -148,7 +148,7 @@
         if was_lost:
             self._log.trouble("dependency_regained", name="store")
 
-    def proved(self, table: str, version: int, at: float) -> None:
+    def record_answer(self, table: str, version: int, at: float) -> None:
         """Records an answer on a table whose rows have been applied.
 
         Args:
@@ -157,9 +157,9 @@
             at: Boot time at which that was the newest version, in seconds.
         """
         if self._freshness.answered(table, version, at):
-            self.on_news()
+            self.on_confirmed_or_lost()
 
-    def renew_after(self, max_age_s: float) -> None:
+    def abort_waits_if_older(self, max_age_s: float) -> None:
         """Aborts waiting calls once the data is older than a limit.
 
         A waiting call that an outage has left unanswered looks like one that
@@ -187,7 +187,7 @@
         """
         if (
             self._failing_calls
-            or time.monotonic() - self.answered < CHECK_AGE_S
+            or time.monotonic() - self.last_answer_at < MIN_RECHECK_AGE_S
         ):
             return
         self._abort_waiting_calls()
@@ -198,29 +198,31 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Manner:
+class FollowMode:
     """How a table is followed.
 
     Attributes:
         wait_s: How long a call waits for a change.
-        gather_s: Pause after a change before the next call.
+        batch_pause_s: Pause after a change before the next call.
     """
 
     wait_s: float = LONG_POLL_S
-    gather_s: float = dataclasses.field(default_factory=lambda: BATCH_PAUSE_S)
+    batch_pause_s: float = dataclasses.field(
+        default_factory=lambda: BATCH_PAUSE_S
+    )
 
 
-class Follower:
+class TableFollower:
     """Follows one table until cancelled."""
 
     def __init__(
         self,
         name: str,
         source: TableSource,
-        state: StoreState,
+        state: StoreMonitor,
         counters: Counters,
         rng: random.Random,
-        mode: Callable[[], Manner] = Manner,
+        mode: Callable[[], FollowMode] = FollowMode,
     ):
         """Creates a follower.
 
@@ -241,8 +243,8 @@
 
     async def run(
         self,
-        apply_all: Callable[[Page], bool],
-        apply_changes: Callable[[Page], None],
+        apply_all: Callable[[TablePage], bool],
+        apply_changes: Callable[[TablePage], None],
     ) -> None:
         """Follows the table.
 
@@ -282,11 +284,11 @@
             after = max(after, page.version)
             if page.rows:
                 apply_changes(page)
-            self._state.proved(self._name, page.version, newest_at)
+            self._state.record_answer(self._name, page.version, newest_at)
             if page.rows and await self._pause_aborted():
                 wait_s = 0.0
 
-    async def _changes(self, after: int, wait_s: float) -> Page | None:
+    async def _changes(self, after: int, wait_s: float) -> TablePage | None:
         """Waits for changes; returns None if the wait was aborted.
 
         An outage may leave a waiting call unanswered for good, on a connection
@@ -320,29 +322,31 @@
         abort_waits = self._state.abort_waits
         began = time.monotonic()
         while not abort_waits.is_set():
-            left_s = began + self._mode().gather_s - time.monotonic()
+            left_s = began + self._mode().batch_pause_s - time.monotonic()
             if left_s <= 0:
                 break
             with anyio.move_on_after(min(left_s, BATCH_PAUSE_S)):
                 await abort_waits.wait()
         return abort_waits.is_set()
 
-    async def _read_all(self, apply_all: Callable[[Page], bool]) -> int | None:
+    async def _read_all(
+        self, apply_all: Callable[[TablePage], bool]
+    ) -> int | None:
         asked_at = now_s()
         page = await self._source.read()
         self._succeeded()
         if apply_all(page):
-            self._state.proved(self._name, page.version, asked_at)
+            self._state.record_answer(self._name, page.version, asked_at)
             return page.version
         await anyio.sleep(STALE_READ_PAUSE_S)
         return None
 
     def _succeeded(self) -> None:
         self._counters.incr("store.calls")
-        self._state.worked(self._name)
+        self._state.succeeded(self._name)
 
 
-def _newest_at(page: Page, asked_at: float, wait_s: float) -> float:
+def _newest_at(page: TablePage, asked_at: float, wait_s: float) -> float:
     """Returns a moment at which a page's version was the store's newest.
 
     An answer may have been buffered while this process was stalled, so the
@@ -380,10 +384,10 @@
         self._counters = counters
         self._log = log
         self.on_leaving: Callable[[str], None] = lambda server: None
-        self.on_gone: Callable[[str], None] = lambda server: None
+        self.on_removed: Callable[[str], None] = lambda server: None
         self.on_changed: Callable[[], None] = lambda: None
 
-    def take_configuration(self, page: Page) -> bool:
+    def apply_operator_rows(self, page: TablePage) -> bool:
         """Applies rows of the operator's table."""
         for row in page.rows:
             if row.id == self._key and row.data is not None:
@@ -419,20 +423,20 @@
                 source=source,
             )
 
-    def take_all_servers(self, page: Page) -> bool:
+    def apply_all_servers(self, page: TablePage) -> bool:
         """Applies a full read of the servers' rows; ignores an older one."""
         if page.version < self._registry.servers_version:
             return False
         self._apply(page, self._registry.apply_full_read)
         return True
 
-    def take_servers(self, page: Page) -> None:
+    def apply_server_changes(self, page: TablePage) -> None:
         """Applies changed servers' rows."""
         self._apply(page, self._registry.apply_changes)
 
-    def _apply(self, page: Page, apply: Callable) -> None:
+    def _apply(self, page: TablePage, apply: Callable) -> None:
         changes = apply(page.rows, page.version)
-        self.report(changes, "store")
+        self.report_changes(changes, "store")
         self.on_changed()
 
     def expire(self, now: float) -> None:
@@ -451,7 +455,7 @@
                 why="row not renewed after the store outage",
             )
 
-    def report(self, changes: list[ServerChange], source: str) -> None:
+    def report_changes(self, changes: list[ServerChange], source: str) -> None:
         """Logs each change of a server and calls the callbacks."""
         for change in changes:
             if change.why:
@@ -483,7 +487,7 @@
 
     def _end(self, server: BackendServer) -> None:
         self.on_leaving(server.id)
-        self.on_gone(server.id)
+        self.on_removed(server.id)
 
 
 def _state(change: ServerChange) -> str:
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -298,7 +298,7 @@
     ),
     Safeguard(
         "the first call after a failure does not wait",
-        "following",
+        "storefollowing",
         "                wait_s = 0.0\n                self._counters",
         "                self._counters",
         "test_following.FollowerTest.test_removal_after_outage",
@@ -370,7 +370,7 @@
     ),
     Safeguard(
         "streams are moved from leaving servers",
-        "following",
+        "storefollowing",
         "self.on_leaving(change.after.id)",
         "pass",
         "test_platform.FailuresTest.test_stream_is_moved_from_leaving_server",
@@ -494,15 +494,15 @@
     ),
     Safeguard(
         "a waiting call is renewed once another has failed",
-        "following",
-        "            self._abort_waiting_calls()\n            self.on_news()\n",
-        "            self.on_news()\n",
+        "storefollowing",
+        "            self._abort_waiting_calls()\n            self.on_confirmed_or_lost()\n",
+        "            self.on_confirmed_or_lost()\n",
         "test_following.FollowerTest"
         ".test_waiting_call_left_unanswered_by_outage",
     ),
     Safeguard(
         "the store is asked once the data is too old",
-        "following",
+        "storefollowing",
         "        if self._freshness.age_s(now) > max_age_s:\n",
         "        if False:\n",
         "test_staleversions.StaleVersionsTest.test_few_instances",
@@ -675,7 +675,7 @@
     ),
     Safeguard(
         "loss of the store ends a long polling pause",
-        "following",
+        "storefollowing",
         "        return abort_waits.is_set()\n",
         "        return False\n",
         "test_following.FollowerTest.test_store_loss_ends_a_long_pause",
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -7,23 +7,23 @@
 
 import anyio
 
-from jasminerelay import following
+from jasminerelay import storefollowing
 from jasminerelay.catalog import BackendServer
 from jasminerelay.errors import StoreError
 from jasminerelay.eventlog import EventLog
-from jasminerelay.following import (
-    Follower,
-    HistoryGoneError,
-    Manner,
-    Page,
-    RegistryFeed,
-    StoreState,
-)
 from jasminerelay.freshness import Freshness
 from jasminerelay.metrics import Counters
 from jasminerelay.registry import RETURN_GRACE_S, Registry
 from jasminerelay.schema.messages import ServerRow
 from jasminerelay.schema.settings import Statsd
+from jasminerelay.storefollowing import (
+    FollowMode,
+    HistoryGoneError,
+    RegistryFeed,
+    StoreMonitor,
+    TableFollower,
+    TablePage,
+)
 
 
 def decode(name: str, data: bytes) -> BackendServer:
@@ -53,13 +53,13 @@
         self.on_unanswered = lambda: None
         self.waits: list[float | None] = []
 
-    async def read(self) -> Page:
+    async def read(self) -> TablePage:
         return await self._next(None)
 
-    async def changes(self, after: int, wait_s: float) -> Page:
+    async def changes(self, after: int, wait_s: float) -> TablePage:
         return await self._next(wait_s)
 
-    async def _next(self, wait_s: float | None) -> Page:
+    async def _next(self, wait_s: float | None) -> TablePage:
         self.waits.append(wait_s)
         if not self.answers:
             await anyio.sleep_forever()
@@ -78,24 +78,26 @@
     async def follow(self, script: ScriptedTable) -> Registry:
         registry = Registry(lambda data: None, decode)
         log = silent_log()
-        state = StoreState(registry, Freshness(["servers"]), log)
+        state = StoreMonitor(registry, Freshness(["servers"]), log)
         feed = RegistryFeed(registry, "configuration", Counters(Statsd()), log)
-        follower = Follower(
+        follower = TableFollower(
             "servers", script, state, Counters(Statsd()), random.Random(1)
         )
         self.state = state
         saved = (
-            following.RETRY_MIN_S,
-            following.RETRY_MAX_S,
-            following.STALE_READ_PAUSE_S,
-            following.BATCH_PAUSE_S,
+            storefollowing.RETRY_MIN_S,
+            storefollowing.RETRY_MAX_S,
+            storefollowing.STALE_READ_PAUSE_S,
+            storefollowing.BATCH_PAUSE_S,
         )
-        following.RETRY_MIN_S = following.RETRY_MAX_S = 0.0
-        following.STALE_READ_PAUSE_S = following.BATCH_PAUSE_S = 0.0
+        storefollowing.RETRY_MIN_S = storefollowing.RETRY_MAX_S = 0.0
+        storefollowing.STALE_READ_PAUSE_S = storefollowing.BATCH_PAUSE_S = 0.0
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(
-                    follower.run, feed.take_all_servers, feed.take_servers
+                    follower.run,
+                    feed.apply_all_servers,
+                    feed.apply_server_changes,
                 )
                 while script.answers:
                     await anyio.sleep(0)
@@ -104,10 +106,10 @@
                 group.cancel_scope.cancel()
         finally:
             (
-                following.RETRY_MIN_S,
-                following.RETRY_MAX_S,
-                following.STALE_READ_PAUSE_S,
-                following.BATCH_PAUSE_S,
+                storefollowing.RETRY_MIN_S,
+                storefollowing.RETRY_MAX_S,
+                storefollowing.STALE_READ_PAUSE_S,
+                storefollowing.BATCH_PAUSE_S,
             ) = saved
         return registry
 
@@ -120,14 +122,14 @@
         # if its row had lapsed.
         row = ServerRow("s", 1, b"pool:ready")
         script = ScriptedTable(
-            Page((row,), 1),
-            Page((), 1),
+            TablePage((row,), 1),
+            TablePage((), 1),
             StoreError("away"),
-            Page((), 1),
-            Page((ServerRow("s", 2, None),), 2),
+            TablePage((), 1),
+            TablePage((ServerRow("s", 2, None),), 2),
         )
         registry = await self.follow(script)
-        long = following.LONG_POLL_S
+        long = storefollowing.LONG_POLL_S
         self.assertEqual(script.waits[:5], [None, 0.0, long, 0.0, long])
         self.assertFalse(self.state.lost)
         registry.expire(float("inf"))
@@ -141,10 +143,10 @@
         # had failed and succeeded again long before.
         row = ServerRow("s", 1, b"pool:ready")
         script = ScriptedTable(
-            Page((row,), 1),
-            Page((), 1),
+            TablePage((row,), 1),
+            TablePage((), 1),
             UNANSWERED,
-            Page((ServerRow("s", 2, b"pool:leaving"),), 2),
+            TablePage((ServerRow("s", 2, b"pool:leaving"),), 2),
         )
         script.on_unanswered = lambda: self.state.failed("op", "silent")
         with anyio.fail_after(10):
@@ -158,7 +160,10 @@
         # store becomes unreachable during such a pause, and another instance
         # reports it. This instance must call at once: rows that lapse before it
         # notices the outage would be taken for removals.
-        async with self.pausing(lambda: Manner(1.0, 60.0)) as (script, state):
+        async with self.pausing(lambda: FollowMode(1.0, 60.0)) as (
+            script,
+            state,
+        ):
             await anyio.sleep(0.05)
             self.assertEqual(len(script.waits), 2)
             state.failed("op", "silent")
@@ -170,9 +175,9 @@
         # follow the store for this one die while it pauses. A server that
         # leaves then must still be known within two seconds, so the pause ends
         # once they are unresponsive, not after its full time.
-        manners = [Manner(1.0, 60.0)]
+        manners = [FollowMode(1.0, 60.0)]
         async with self.pausing(lambda: manners[0]) as (script, _):
-            manners[0] = Manner(1.0, 0.0)
+            manners[0] = FollowMode(1.0, 0.0)
             await self.wait_for_calls(script, 3)
 
     @contextlib.asynccontextmanager
@@ -181,20 +186,22 @@
         row = ServerRow("s", 1, b"pool:ready")
         changed = ServerRow("s", 2, b"pool:ready")
         script = ScriptedTable(
-            Page((row,), 1), Page((changed,), 2), Page((), 2)
+            TablePage((row,), 1), TablePage((changed,), 2), TablePage((), 2)
         )
         registry = Registry(lambda data: None, decode)
         log = silent_log()
-        state = StoreState(registry, Freshness(["servers"]), log)
+        state = StoreMonitor(registry, Freshness(["servers"]), log)
         counters = Counters(Statsd())
         feed = RegistryFeed(registry, "configuration", counters, log)
-        follower = Follower(
+        follower = TableFollower(
             "servers", script, state, counters, random.Random(1), manner
         )
         with anyio.fail_after(10):
             async with anyio.create_task_group() as group:
                 group.start_soon(
-                    follower.run, feed.take_all_servers, feed.take_servers
+                    follower.run,
+                    feed.apply_all_servers,
+                    feed.apply_server_changes,
                 )
                 await self.wait_for_calls(script, 2)
                 yield script, state
@@ -212,9 +219,9 @@
         # missing.
         rows = [ServerRow(name, 1, b"pool:ready") for name in "ab"]
         script = ScriptedTable(
-            Page(tuple(rows), 1),
+            TablePage(tuple(rows), 1),
             HistoryGoneError("gone"),
-            Page((rows[0],), 5),
+            TablePage((rows[0],), 5),
         )
         registry = await self.follow(script)
         self.assertEqual([s.id for s in registry.servers()], ["a"])
@@ -226,11 +233,11 @@
         ready = ServerRow("a", 1, b"pool:ready")
         leaving = ServerRow("a", 4, b"pool:leaving")
         script = ScriptedTable(
-            Page((ready,), 1),
-            Page((leaving,), 4),
+            TablePage((ready,), 1),
+            TablePage((leaving,), 4),
             HistoryGoneError("gone"),
-            Page((ready,), 2),
-            Page((leaving,), 4),
+            TablePage((ready,), 2),
+            TablePage((leaving,), 4),
         )
         registry = await self.follow(script)
         self.assertTrue(registry.server("a").draining)
@@ -239,7 +246,9 @@
     async def test_unreadable_row(self) -> None:
         # One unreadable row must not hide the other rows.
         script = ScriptedTable(
-            Page((ServerRow("a", 1, b""), ServerRow("b", 2, b"pool:ready")), 2),
+            TablePage(
+                (ServerRow("a", 1, b""), ServerRow("b", 2, b"pool:ready")), 2
+            ),
         )
         registry = await self.follow(script)
         self.assertEqual([s.id for s in registry.servers()], ["b"])
@@ -262,7 +271,7 @@
         feed = RegistryFeed(registry, "config", Counters(Statsd()), log)
         for version, data in ((5, b"7"), (6, b"6"), (5, b"7")):
             row = ServerRow("config", version, data)
-            feed.take_configuration(Page((row,), version))
+            feed.apply_operator_rows(TablePage((row,), version))
         self.assertEqual(
             [(event, fields["row_version"]) for event, fields in lines],
             [("configuration", 5), ("configuration_passed_over", 6)],
--- a/tests/test_platforminstances.py
+++ b/tests/test_platforminstances.py
@@ -8,11 +8,11 @@
 from anyio.abc import SocketAttribute
 
 from jasminerelay import peerlink
-from jasminerelay.following import CHECK_AGE_S
 from jasminerelay.httpclient import NotSentError
 from jasminerelay.platform import root
 from jasminerelay.platform.root import REGISTER_PAUSE_S
 from jasminerelay.registry import StoreStatus
+from jasminerelay.storefollowing import MIN_RECHECK_AGE_S
 from standins.platformsite import HOST, KEY, PLAIN, SiteOptions
 from tests.platformcase import WAIT_S, PlatformCase, events, fetch
 
@@ -145,7 +145,7 @@
         async with self.site(2) as (site, (first, second)):
             await self.until(lambda: first.peers_live == 2)
             await self.until(lambda: second.peers_live == 2)
-            await anyio.sleep(CHECK_AGE_S)
+            await anyio.sleep(MIN_RECHECK_AGE_S)
             site.store.faults.down = True
             site.links["edge-1"].reset()
             for instance in (first, second):
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -9,13 +9,13 @@
 
 from jasminerelay import peerwords
 from jasminerelay.eventlog import EventLog
-from jasminerelay.following import Page, RegistryFeed
 from jasminerelay.metrics import Counters
 from jasminerelay.platform import documents, headers, storeclient
 from jasminerelay.platform.documents import DocumentError
 from jasminerelay.registry import RETURN_GRACE_S, Registry, ServerChange
 from jasminerelay.schema.messages import ServerLoad, ServerRow, Snapshot
 from jasminerelay.schema.settings import Statsd
+from jasminerelay.storefollowing import RegistryFeed, TablePage
 from tests.test_dispatcher import dispatcher
 
 FUZZ = settings(max_examples=200, derandomize=True, deadline=None)
@@ -84,11 +84,13 @@
         self.left: list[str] = []
         self.gone: list[str] = []
         self.feed.on_leaving = self.left.append
-        self.feed.on_gone = self.gone.append
+        self.feed.on_removed = self.gone.append
 
     def take(self, *rows: ServerRow) -> None:
         """Applies a page of changes."""
-        self.feed.take_servers(Page(rows, max(item.version for item in rows)))
+        self.feed.apply_server_changes(
+            TablePage(rows, max(item.version for item in rows))
+        )
 
     def ids(self) -> list[str]:
         """Returns the ids of the servers in use."""
@@ -109,7 +111,7 @@
         # for a cache that no longer exists.
         router_dispatcher = dispatcher(1)
         router_dispatcher._registry = self.followed.registry
-        self.followed.feed.on_gone = router_dispatcher.gone
+        self.followed.feed.on_removed = router_dispatcher.gone
         self.followed.take(row(1))
         (before,) = self.followed.registry.servers_of(POOL)
         router_dispatcher.workload.start(before.id, unread=9000, memory=9000)
@@ -276,7 +278,7 @@
     def test_same_row_read_again_is_logged_once(self) -> None:
         bad = [ServerRow(name, 2, b"nonsense") for name in "ab"]
         for _ in range(3):
-            self.followed.feed.take_all_servers(Page(tuple(bad), 2))
+            self.followed.feed.apply_all_servers(TablePage(tuple(bad), 2))
         self.assertEqual(self.unreadable(), 2)
         self.followed.take(ServerRow("b", 3, b"other nonsense"))
         self.assertEqual(self.unreadable(), 3)
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -6,9 +6,9 @@
 
 import anyio
 
-from jasminerelay.following import BATCH_PAUSE_S
 from jasminerelay.httpclient import BrokenError
 from jasminerelay.platform import root
+from jasminerelay.storefollowing import BATCH_PAUSE_S
 from standins.platformsite import MODEL, PLAIN
 from tests.platformcase import PlatformCase
 
--- a/tests/test_staleversions.py
+++ b/tests/test_staleversions.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from jasminerelay import followers, following
+from jasminerelay import followers, storefollowing
 from tests import virtualtime
 from tests.versionworld import (
     MAX_CHANGE_DELAY_S,
@@ -30,7 +30,7 @@
         for seed in seeds:
             with self.subTest(seed=seed, count=count):
                 world = World(self, seed, count)
-                virtualtime.run(world.run, (following, followers))
+                virtualtime.run(world.run, (storefollowing, followers))
 
     def test_few_instances(self) -> None:
         # Guards against callers that get "not found" for a route that the
@@ -58,7 +58,7 @@
         for seed in SEEDS[:3]:
             with self.subTest(seed=seed):
                 world = World(self, seed, count, scenario)
-                virtualtime.run(world.run, (following, followers))
+                virtualtime.run(world.run, (storefollowing, followers))
 
     def assert_newest_configuration(self, world: World, nodes) -> None:
         """Asserts that instances have the newest configuration."""
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -16,15 +16,6 @@
 from jasminerelay import followers
 from jasminerelay.errors import StoreError
 from jasminerelay.followers import Followers
-from jasminerelay.following import (
-    FAR_GATHER_S,
-    LEAD_WAIT_S,
-    Follower,
-    Manner,
-    Page,
-    RegistryFeed,
-    StoreState,
-)
 from jasminerelay.freshness import Freshness
 from jasminerelay.membership import ALIVE
 from jasminerelay.metrics import Counters
@@ -34,6 +25,15 @@
 from jasminerelay.schema.messages import Member, ServerRow
 from jasminerelay.schema.settings import Statsd
 from jasminerelay.standings import PeerStandings
+from jasminerelay.storefollowing import (
+    INDIRECT_BATCH_PAUSE_S,
+    LEADER_LONG_POLL_S,
+    FollowMode,
+    RegistryFeed,
+    StoreMonitor,
+    TableFollower,
+    TablePage,
+)
 from tests.test_following import decode, silent_log
 
 LENGTH_S = 60.0
@@ -88,16 +88,16 @@
         """Accepts a server's row."""
         self._put("servers", name, b"pool:ready")
 
-    def page(self, table: str, after: int) -> Page:
+    def page(self, table: str, after: int) -> TablePage:
         """Returns the newest row of each key that changed after a version."""
         found = {
             row.id: row
             for name, row in self.rows
             if name == table and row.version > after
         }
-        return Page(tuple(found.values()), self.version)
+        return TablePage(tuple(found.values()), self.version)
 
-    async def changes(self, table: str, after: int, wait_s: float) -> Page:
+    async def changes(self, table: str, after: int, wait_s: float) -> TablePage:
         """Waits for a change."""
         with anyio.move_on_after(wait_s):
             while not self.page(table, after).rows:
@@ -122,11 +122,11 @@
         self._node = node
         self._name = name
 
-    async def read(self) -> Page:
+    async def read(self) -> TablePage:
         """Returns all rows."""
         return await self.changes(0, 0.0)
 
-    async def changes(self, after: int, wait_s: float) -> Page:
+    async def changes(self, after: int, wait_s: float) -> TablePage:
         """Waits for a change, while the store answers."""
         node, store = self._node, self._node.world.store
         if not node.reaches_store and node.refused:
@@ -172,13 +172,18 @@
         self.standings = PeerStandings(self.registry, self.freshness)
         self.followers = Followers(member.instance, member.zone)
         log, counters = silent_log(), Counters(Statsd())
-        self.state = StoreState(self.registry, self.freshness, log)
-        self.state.on_news = lambda: self.send_status(self.followers.told())
+        self.state = StoreMonitor(self.registry, self.freshness, log)
+        self.state.on_confirmed_or_lost = lambda: self.send_status(
+            self.followers.told()
+        )
         self.feed = RegistryFeed(self.registry, "config", counters, log)
         self.feed.on_changed = lambda: self.send_status(self.followers.led())
-        leader_mode = {"op": Manner(wait_s=LEAD_WAIT_S), "servers": Manner()}
+        leader_mode = {
+            "op": FollowMode(wait_s=LEADER_LONG_POLL_S),
+            "servers": FollowMode(),
+        }
         self._followers = {
-            table: Follower(
+            table: TableFollower(
                 table,
                 Table(self, table),
                 self.state,
@@ -218,13 +223,13 @@
                 feed = self.feed
                 group.start_soon(
                     self._followers["op"].run,
-                    feed.take_configuration,
-                    feed.take_configuration,
+                    feed.apply_operator_rows,
+                    feed.apply_operator_rows,
                 )
                 group.start_soon(
                     self._followers["servers"].run,
-                    feed.take_all_servers,
-                    feed.take_servers,
+                    feed.apply_all_servers,
+                    feed.apply_server_changes,
                 )
                 group.start_soon(self._tick)
 
@@ -246,11 +251,15 @@
         if standing.touch:
             self.followers.heard(sender.name, now())
 
-    def _mode(self, leader_mode: Manner) -> Manner:
+    def _mode(self, leader_mode: FollowMode) -> FollowMode:
         if self.followers.leads:
             return leader_mode
         follows_closely = self.followers.closely()
-        return Manner() if follows_closely else Manner(gather_s=FAR_GATHER_S)
+        return (
+            FollowMode()
+            if follows_closely
+            else FollowMode(batch_pause_s=INDIRECT_BATCH_PAUSE_S)
+        )
 
     async def _tick(self) -> None:
         rounds = 0
@@ -266,7 +275,9 @@
                 live, shared=self.world.shared, without_store=lost
             )
             lags = self.freshness.lags
-            self.state.renew_after(self.followers.patience_s(lags=lags))
+            self.state.abort_waits_if_older(
+                self.followers.patience_s(lags=lags)
+            )
             if rounds % 2 == 0 and len(live) > 1:
                 others = [item for item in live if item is not self.member]
                 self.send_status([self.world.rng.choice(others)])
