--- a/src/jasminerelay/followers.py
+++ b/src/jasminerelay/followerroles.py
@@ -17,12 +17,12 @@
 from jasminerelay import rendezvous
 from jasminerelay.schema.messages import Member
 
-FOLLOWERS = 3
+FOLLOWERS_PER_ZONE = 3
 """Instances of each availability zone that follow the store closely and notify
 the others of their zone. Two may fail at once; the followers of other zones
 notify, too."""
 
-LED_S = 1.2
+FOLLOWER_SILENCE_S = 1.2
 """Time without a message from the followers of its zone after which an instance
 follows the store closely itself. They send every 0.4 s, and a leaving server
 must be known within two seconds."""
@@ -49,7 +49,7 @@
 store has accepted it."""
 
 
-class Followers:
+class FollowerRole:
     """One instance's role in following the store."""
 
     def __init__(self, own: str, zone: str):
@@ -68,7 +68,7 @@
         self._last_message_at = float("-inf")
         self._shared = False
 
-    def saw_instances(
+    def update_instances(
         self,
         live: Iterable[Member],
         *,
@@ -104,13 +104,13 @@
             for zone, group in zones.items()
         }
 
-    def heard(self, instance: str, now: float) -> None:
+    def record_message(self, instance: str, now: float) -> None:
         """Records a message from an instance that reaches the store."""
         if instance in _names(self._followers_by_zone.get(self._zone, [])):
             self._last_message_at = now
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this instance has the store confirm the data for all."""
         return self._position == 0
 
@@ -120,26 +120,26 @@
             return self._order.index(self._own)
         return len(self._order)
 
-    def patience_s(self, *, lags: bool) -> float:
+    def poll_age_s(self, *, lags: bool) -> float:
         """Returns the age of the data above which to ask the store.
 
         Args:
             lags: Whether one table is confirmed up to an older version than
                 another.
         """
-        if self.leads:
+        if self.is_leader:
             return LAGGING_POLL_AGE_S if lags else LEADER_POLL_AGE_S
         extra_s = POLL_AGE_STEP_S * self._position
         return min(LEADER_POLL_AGE_S + extra_s, MAX_POLL_AGE_S)
 
-    def closely(self) -> bool:
+    def follows_closely(self) -> bool:
         """Returns whether this instance follows the store closely."""
         own_zone = _names(self._followers_by_zone.get(self._zone, []))
-        if not self._shared or self.leads or self._own in own_zone:
+        if not self._shared or self.is_leader or self._own in own_zone:
             return True
-        return time.monotonic() - self._last_message_at > LED_S
+        return time.monotonic() - self._last_message_at > FOLLOWER_SILENCE_S
 
-    def told(self) -> list[Member]:
+    def confirmation_recipients(self) -> list[Member]:
         """Returns the instances to which this one sends confirmations."""
         if self._position >= CONFIRMATION_SENDERS:
             return []
@@ -152,7 +152,7 @@
             if member.instance != self._own
         ]
 
-    def led(self) -> list[Member]:
+    def change_recipients(self) -> list[Member]:
         """Returns the instances to which this one forwards changes."""
         own_zone = _names(self._followers_by_zone.get(self._zone, []))
         if not self._shared or self._own not in own_zone:
@@ -173,7 +173,7 @@
         zone: The availability zone.
         instances: Its live instances.
     """
-    return rendezvous.rank(f"store/{zone}", instances)[:FOLLOWERS]
+    return rendezvous.rank(f"store/{zone}", instances)[:FOLLOWERS_PER_ZONE]
 
 
 def _names(members: Iterable[Member]) -> list[str]:
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -21,7 +21,7 @@
 from jasminerelay import peerwords
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.eventlog import EventLog
-from jasminerelay.followers import Followers
+from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness, now_s
 from jasminerelay.httpclient import (
     BrokenError,
@@ -137,7 +137,7 @@
         )
         self._owned: OwnedCells | None = None
         self._asking: PlacementClient | None = None
-        self._followers: Followers | None = None
+        self._followers: FollowerRole | None = None
         self.on_snapshot: Callable[[Snapshot, str], None] = lambda *_: None
         self.on_store_lost: Callable[[], None] = lambda: None
         self.on_crashes: Callable[[CrashWord], None] = lambda message: None
@@ -167,7 +167,10 @@
         self._send_all(self.membership.leave())
 
     def wire_cells(
-        self, owned: OwnedCells, asking: PlacementClient, followers: Followers
+        self,
+        owned: OwnedCells,
+        asking: PlacementClient,
+        followers: FollowerRole,
     ) -> None:
         """Connects the components for cells and for following the store.
 
@@ -248,7 +251,7 @@
         Where the versions are newer, those instances fetch the rows from here
         instead of asking the store each.
         """
-        self._send_status(self._followers.led())
+        self._send_status(self._followers.change_recipients())
 
     def tell_news(self) -> None:
         """Notifies the others that the store confirmed the data, or is lost.
@@ -256,7 +259,7 @@
         An instance that has the same or newer versions adopts this age for its
         data, and need not ask the store.
         """
-        self._send_status(self._followers.told())
+        self._send_status(self._followers.confirmation_recipients())
 
     def without_store(self) -> list[str]:
         """Returns the instances that lost the store; may include this one."""
@@ -399,7 +402,7 @@
         if self._owned is not None:
             self._owned.queues.update(message.queues, now)
             if message.standing.touch != StoreStatus.UNREACHABLE:
-                self._followers.heard(message.sender, now)
+                self._followers.record_message(message.sender, now)
         if message.gossip is not None:
             self._send_all(self.membership.receive(message.gossip, now))
 
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -22,7 +22,7 @@
 from jasminerelay.errors import StoreError
 from jasminerelay.evacuation import Evacuator
 from jasminerelay.eventlog import Bridge, EventLog
-from jasminerelay.followers import Followers
+from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness, now_s
 from jasminerelay.headbound import HeadBounds
 from jasminerelay.httpclient import Client
@@ -194,7 +194,7 @@
                 self._crashes.run,
                 self._crash_table.save,
                 self._crash_table.read,
-                lambda: self._follower_role.leads,
+                lambda: self._follower_role.is_leader,
             )
             group.start_soon(
                 self._configuration_follower.run,
@@ -241,9 +241,13 @@
         relaxed_mode = FollowMode(batch_pause_s=INDIRECT_BATCH_PAUSE_S)
 
         def current_mode() -> FollowMode:
-            if self._follower_role.leads:
+            if self._follower_role.is_leader:
                 return leader_mode
-            return close_mode if self._follower_role.closely() else relaxed_mode
+            return (
+                close_mode
+                if self._follower_role.follows_closely()
+                else relaxed_mode
+            )
 
         return TableFollower(
             table,
@@ -332,7 +336,7 @@
             self.counters,
         )
         self._owned_cells.on_split = self._log_split
-        self._follower_role = Followers(member_id, boot.zone)
+        self._follower_role = FollowerRole(member_id, boot.zone)
         self._peers.wire_cells(
             self._owned_cells, self._placement_client, self._follower_role
         )
@@ -507,7 +511,7 @@
             self._owned_cells.tick(now)
             self._update_instances()
             self._store_state.abort_waits_if_older(
-                self._follower_role.patience_s(lags=self._freshness.lags)
+                self._follower_role.poll_age_s(lags=self._freshness.lags)
             )
             self._retry_budget.record_instance_count(self._peers.known, now)
             ticks += 1
@@ -525,7 +529,7 @@
     def _update_instances(self) -> None:
         live = self._peers.membership.live()
         self._placement_client.update_instances(self._peers.known, live)
-        self._follower_role.saw_instances(
+        self._follower_role.update_instances(
             live,
             shared=self._placement_client.active,
             without_store=self._peers.without_store(),
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -15,7 +15,11 @@
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.enginemodel import SLOT_SHARE
 from jasminerelay.errors import NoRoomError
-from jasminerelay.followers import FOLLOWERS, LED_S, Followers
+from jasminerelay.followerroles import (
+    FOLLOWER_SILENCE_S,
+    FOLLOWERS_PER_ZONE,
+    FollowerRole,
+)
 from jasminerelay.membership import ALIVE
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
@@ -120,7 +124,7 @@
         live = self.live()
         for node in self.nodes.values():
             node.asking.update_instances(100, live)
-            node.followers.saw_instances(live, shared=True)
+            node.followers.update_instances(live, shared=True)
 
     async def publish_queues(self) -> None:
         """Exchanges the owners' queue estimates until cancelled."""
@@ -168,7 +172,7 @@
             node_registry, "z", lambda: len(site.names)
         )
         self.counters = Counters(Statsd())
-        self.followers = Followers(name, "z")
+        self.followers = FollowerRole(name, "z")
         self.local = PlacementQueue(
             self.dispatcher.place,
             self.dispatcher.expect,
@@ -332,36 +336,40 @@
     def setUp(self) -> None:
         self.site = Site(30, servers=4)
         self.zone_followers = [
-            node for node in self.site.nodes.values() if node.followers.led()
+            node
+            for node in self.site.nodes.values()
+            if node.followers.change_recipients()
         ]
 
     def test_each_has_one_leader(self) -> None:
         led = [
             member.instance
             for node in self.zone_followers
-            for member in node.followers.led()
+            for member in node.followers.change_recipients()
         ]
         names = {node.name for node in self.zone_followers}
-        self.assertEqual(len(self.zone_followers), FOLLOWERS)
+        self.assertEqual(len(self.zone_followers), FOLLOWERS_PER_ZONE)
         self.assertEqual(sorted(led), sorted(set(self.site.names) - names))
 
     def test_silent_leaders(self) -> None:
         # An instance doesn't follow the store closely while the followers of
         # its zone send messages, and does so once they have been silent.
-        led = self.zone_followers[0].followers.led()[0].instance
+        led = self.zone_followers[0].followers.change_recipients()[0].instance
         followers = self.site.nodes[led].followers
-        self.assertTrue(followers.closely())
+        self.assertTrue(followers.follows_closely())
         now = time.monotonic()
-        followers.heard(self.zone_followers[0].name, now)
-        self.assertFalse(followers.closely())
-        followers.heard(self.zone_followers[0].name, now - LED_S)
-        self.assertTrue(followers.closely())
+        followers.record_message(self.zone_followers[0].name, now)
+        self.assertFalse(followers.follows_closely())
+        followers.record_message(
+            self.zone_followers[0].name, now - FOLLOWER_SILENCE_S
+        )
+        self.assertTrue(followers.follows_closely())
 
     def test_few_instances_all_follow(self) -> None:
         node = self.zone_followers[0]
-        node.followers.saw_instances([node.member], shared=False)
-        self.assertTrue(node.followers.closely())
-        self.assertEqual(node.followers.led(), [])
+        node.followers.update_instances([node.member], shared=False)
+        self.assertTrue(node.followers.follows_closely())
+        self.assertEqual(node.followers.change_recipients(), [])
 
 
 class ConcurrentPlacementTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from jasminerelay.followers import (
+from jasminerelay.followerroles import (
     CONFIRMATION_SENDERS,
-    FOLLOWERS,
+    FOLLOWERS_PER_ZONE,
     LAGGING_POLL_AGE_S,
     LEADER_POLL_AGE_S,
     MAX_POLL_AGE_S,
-    Followers,
+    FollowerRole,
 )
 from jasminerelay.freshness import IGNORE_AGES_S, STALL_S, Freshness
 from jasminerelay.membership import ALIVE
@@ -96,43 +96,43 @@
             for n in range(count)
         ]
 
-    def parts(self, count: int, **arguments) -> list[Followers]:
+    def parts(self, count: int, **arguments) -> list[FollowerRole]:
         """Returns the role of every instance."""
         members = self.members(count)
-        roles = [Followers(m.instance, m.zone) for m in members]
+        roles = [FollowerRole(m.instance, m.zone) for m in members]
         for role in roles:
-            role.saw_instances(members, **arguments)
+            role.update_instances(members, **arguments)
         return roles
 
     def test_one_leads(self) -> None:
         for count, shared in ((1, False), (6, False), (195, True)):
             roles = self.parts(count, shared=shared)
-            self.assertEqual(sum(role.leads for role in roles), 1)
+            self.assertEqual(sum(role.is_leader for role in roles), 1)
 
     def test_next_instance_leads_if_the_leader_loses_the_store(self) -> None:
         # The store rejects the leading instance and serves the others.
         roles = self.parts(6, shared=False)
-        leader = next(n for n, role in enumerate(roles) if role.leads)
+        leader = next(n for n, role in enumerate(roles) if role.is_leader)
         roles = self.parts(6, shared=False, without_store=[f"i{leader}"])
-        leads = [n for n, role in enumerate(roles) if role.leads]
+        leads = [n for n, role in enumerate(roles) if role.is_leader]
         self.assertEqual(len(leads), 1)
         self.assertNotEqual(leads[0], leader)
 
     def test_all_without_store(self) -> None:
         names = [f"i{n}" for n in range(6)]
         roles = self.parts(6, shared=False, without_store=names)
-        self.assertEqual(sum(role.leads for role in roles), 1)
+        self.assertEqual(sum(role.is_leader for role in roles), 1)
 
     def test_poll_ages(self) -> None:
         # The leader asks first, so that one call serves all. The last instance
         # asks before its data is too old for the two seconds in which a change
         # must be in force.
         roles = self.parts(195, shared=True)
-        ages = sorted(role.patience_s(lags=False) for role in roles)
+        ages = sorted(role.poll_age_s(lags=False) for role in roles)
         self.assertEqual(ages[0], LEADER_POLL_AGE_S)
         self.assertLess(ages[0], ages[1])
         self.assertEqual(ages[-1], MAX_POLL_AGE_S)
-        lagging_ages = sorted(role.patience_s(lags=True) for role in roles)
+        lagging_ages = sorted(role.poll_age_s(lags=True) for role in roles)
         self.assertEqual(lagging_ages[0], LAGGING_POLL_AGE_S)
         self.assertEqual(lagging_ages[1:], ages[1:])
 
@@ -140,20 +140,24 @@
         # The leader of 195 instances notifies the followers of each zone, and
         # they notify their zones: no instance sends to all.
         roles = self.parts(195, shared=True)
-        senders = [role for role in roles if role.told()]
+        senders = [role for role in roles if role.confirmation_recipients()]
         self.assertEqual(len(senders), CONFIRMATION_SENDERS)
         for role in senders:
-            self.assertLessEqual(len(role.told()), 3 * FOLLOWERS)
+            self.assertLessEqual(
+                len(role.confirmation_recipients()), 3 * FOLLOWERS_PER_ZONE
+            )
         recipients = [
-            member.instance for role in roles for member in role.led()
+            member.instance
+            for role in roles
+            for member in role.change_recipients()
         ]
         self.assertEqual(len(recipients), len(set(recipients)))
-        self.assertEqual(len(recipients), 195 - 3 * FOLLOWERS)
+        self.assertEqual(len(recipients), 195 - 3 * FOLLOWERS_PER_ZONE)
 
     def test_small_platform_notifies_all(self) -> None:
         roles = self.parts(6, shared=False)
-        leader = next(role for role in roles if role.leads)
-        self.assertEqual(len(leader.told()), 5)
+        leader = next(role for role in roles if role.is_leader)
+        self.assertEqual(len(leader.confirmation_recipients()), 5)
 
 
 if __name__ == "__main__":
--- a/tests/test_staleversions.py
+++ b/tests/test_staleversions.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from jasminerelay import followers, storefollowing
+from jasminerelay import followerroles, storefollowing
 from tests import virtualtime
 from tests.versionworld import (
     MAX_CHANGE_DELAY_S,
@@ -30,7 +30,7 @@
         for seed in seeds:
             with self.subTest(seed=seed, count=count):
                 world = World(self, seed, count)
-                virtualtime.run(world.run, (storefollowing, followers))
+                virtualtime.run(world.run, (storefollowing, followerroles))
 
     def test_few_instances(self) -> None:
         # Guards against callers that get "not found" for a route that the
@@ -58,7 +58,7 @@
         for seed in SEEDS[:3]:
             with self.subTest(seed=seed):
                 world = World(self, seed, count, scenario)
-                virtualtime.run(world.run, (storefollowing, followers))
+                virtualtime.run(world.run, (storefollowing, followerroles))
 
     def assert_newest_configuration(self, world: World, nodes) -> None:
         """Asserts that instances have the newest configuration."""
@@ -92,7 +92,9 @@
         # instance, and its waiting calls hang. The store answers new calls, so
         # the zone must get a change in time through them.
         async def scenario(world: World) -> None:
-            leader = next(n for n in world.nodes.values() if n.followers.leads)
+            leader = next(
+                n for n in world.nodes.values() if n.followers.is_leader
+            )
             zones = {n.member.zone for n in world.nodes.values()}
             zone = min(zones - {leader.member.zone})
             part = [n for n in world.nodes.values() if n.member.zone == zone]
@@ -134,7 +136,7 @@
         # instances to which they forward changes must get this one in time.
         async def scenario(world: World) -> None:
             group = [n for n in world.nodes.values() if n.member.zone == "z1"]
-            names = followers.followers_of_zone(
+            names = followerroles.followers_of_zone(
                 "z1", [node.name for node in group]
             )
             self.disconnect(world, [world.nodes[name] for name in names])
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -13,9 +13,9 @@
 
 import anyio
 
-from jasminerelay import followers
+from jasminerelay import followerroles
 from jasminerelay.errors import StoreError
-from jasminerelay.followers import Followers
+from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness
 from jasminerelay.membership import ALIVE
 from jasminerelay.metrics import Counters
@@ -170,14 +170,16 @@
         )
         self.freshness = Freshness(TABLES)
         self.standings = PeerStandings(self.registry, self.freshness)
-        self.followers = Followers(member.instance, member.zone)
+        self.followers = FollowerRole(member.instance, member.zone)
         log, counters = silent_log(), Counters(Statsd())
         self.state = StoreMonitor(self.registry, self.freshness, log)
         self.state.on_confirmed_or_lost = lambda: self.send_status(
-            self.followers.told()
+            self.followers.confirmation_recipients()
         )
         self.feed = RegistryFeed(self.registry, "config", counters, log)
-        self.feed.on_changed = lambda: self.send_status(self.followers.led())
+        self.feed.on_changed = lambda: self.send_status(
+            self.followers.change_recipients()
+        )
         leader_mode = {
             "op": FollowMode(wait_s=LEADER_LONG_POLL_S),
             "servers": FollowMode(),
@@ -249,12 +251,12 @@
             self.state.check()
         self.standings.hear(sender.name, standing, now(), now())
         if standing.touch:
-            self.followers.heard(sender.name, now())
+            self.followers.record_message(sender.name, now())
 
     def _mode(self, leader_mode: FollowMode) -> FollowMode:
-        if self.followers.leads:
+        if self.followers.is_leader:
             return leader_mode
-        follows_closely = self.followers.closely()
+        follows_closely = self.followers.follows_closely()
         return (
             FollowMode()
             if follows_closely
@@ -271,18 +273,18 @@
             lost = self.standings.without_store()
             if self.state.lost:
                 lost.append(self.name)
-            self.followers.saw_instances(
+            self.followers.update_instances(
                 live, shared=self.world.shared, without_store=lost
             )
             lags = self.freshness.lags
             self.state.abort_waits_if_older(
-                self.followers.patience_s(lags=lags)
+                self.followers.poll_age_s(lags=lags)
             )
             if rounds % 2 == 0 and len(live) > 1:
                 others = [item for item in live if item is not self.member]
                 self.send_status([self.world.rng.choice(others)])
             if rounds % 4 == 0:
-                self.send_status(self.followers.led())
+                self.send_status(self.followers.change_recipients())
             await self._catch_up()
 
     async def _catch_up(self) -> None:
@@ -416,7 +418,7 @@
         """Cuts some instances off from the store, mostly followers."""
         zone = f"z{self.rng.randrange(3)}"
         group = [n for n in self.nodes.values() if n.member.zone == zone]
-        chosen = followers.followers_of_zone(
+        chosen = followerroles.followers_of_zone(
             zone, [node.name for node in group]
         )
         if self.rng.random() < 0.5:
@@ -449,7 +451,7 @@
     async def _replace(self) -> None:
         """Stops an instance and starts another, often the leading one."""
         names = list(self.nodes)
-        leaders = [n.name for n in self.nodes.values() if n.followers.leads]
+        leaders = [n.name for n in self.nodes.values() if n.followers.is_leader]
         name = self.rng.choice(leaders or names)
         node = self.nodes.pop(name)
         node.scope.cancel()
