--- a/src/jasminerelay/freshness.py
+++ b/src/jasminerelay/freshness.py
@@ -62,7 +62,7 @@
         self._ignore_ages_until = NEVER
 
     @property
-    def lags(self) -> bool:
+    def versions_differ(self) -> bool:
         """Whether one table is confirmed up to an older version than another.
 
         The change in between may belong to either table.
@@ -74,7 +74,7 @@
         """Returns the age of the data; infinite before any confirmation."""
         return now - self._complete_at
 
-    def answered(self, table: str, version: int, at: float) -> bool:
+    def record_answer(self, table: str, version: int, at: float) -> bool:
         """Records an answer of the store whose rows have been applied.
 
         Args:
@@ -92,7 +92,7 @@
         self._reads[table] = _Read(version, max(at, before.at))
         return self._advance_to(min(map(self._proved_at, self._reads.values())))
 
-    def told(self, age_s: float, now: float) -> None:
+    def record_peer_age(self, age_s: float, now: float) -> None:
         """Records the age of another instance's data.
 
         Args:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -511,7 +511,9 @@
             self._owned_cells.tick(now)
             self._update_instances()
             self._store_state.abort_waits_if_older(
-                self._follower_role.poll_age_s(lags=self._freshness.lags)
+                self._follower_role.poll_age_s(
+                    lags=self._freshness.versions_differ
+                )
             )
             self._retry_budget.record_instance_count(self._peers.known, now)
             ticks += 1
--- a/src/jasminerelay/standings.py
+++ b/src/jasminerelay/standings.py
@@ -56,7 +56,7 @@
             self._behind_since = self._behind_since or now
             self._newer_peer = sender
         elif standing.age_ms >= 0:
-            self._freshness.told(standing.age_ms / 1000, at)
+            self._freshness.record_peer_age(standing.age_ms / 1000, at)
 
     def reports_store_loss(self, sender: str, standing: Standing) -> bool:
         """Returns whether a sender newly reports that it has lost the store."""
--- a/src/jasminerelay/storefollowing.py
+++ b/src/jasminerelay/storefollowing.py
@@ -156,7 +156,7 @@
             version: The store's newest version, according to the answer.
             at: Boot time at which that was the newest version, in seconds.
         """
-        if self._freshness.answered(table, version, at):
+        if self._freshness.record_answer(table, version, at):
             self.on_confirmed_or_lost()
 
     def abort_waits_if_older(self, max_age_s: float) -> None:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -29,43 +29,43 @@
     def test_both_tables_must_be_answered(self) -> None:
         # The store answers on servers but not yet on the configuration. Routes
         # may have changed, so nothing is proved.
-        self.freshness.answered("servers", 9, 10.0)
+        self.freshness.record_answer("servers", 9, 10.0)
         self.assertEqual(self.freshness.age_s(10.0), float("inf"))
-        self.freshness.answered("op", 9, 12.0)
+        self.freshness.record_answer("op", 9, 12.0)
         self.assertEqual(self.freshness.age_s(13.0), 1.0)
 
     def test_one_answer_proves_unchanged_tables(self) -> None:
         # If the store's version is unchanged, one call proves both tables: no
         # second call each second is needed for servers.
-        self.freshness.answered("servers", 9, 10.0)
-        self.freshness.answered("op", 9, 10.0)
-        self.assertTrue(self.freshness.answered("op", 9, 20.0))
+        self.freshness.record_answer("servers", 9, 10.0)
+        self.freshness.record_answer("op", 9, 10.0)
+        self.assertTrue(self.freshness.record_answer("op", 9, 20.0))
         self.assertEqual(self.freshness.age_s(20.5), 0.5)
-        self.assertFalse(self.freshness.lags)
+        self.assertFalse(self.freshness.versions_differ)
 
     def test_answer_does_not_cover_a_change_of_the_other_table(self) -> None:
         # The store's version has risen, but not because of the configuration: a
         # server may have left, which the call on servers has not returned yet.
         for table in TABLES:
-            self.freshness.answered(table, 9, 10.0)
-        self.assertFalse(self.freshness.answered("op", 11, 20.0))
-        self.assertTrue(self.freshness.lags)
+            self.freshness.record_answer(table, 9, 10.0)
+        self.assertFalse(self.freshness.record_answer("op", 11, 20.0))
+        self.assertTrue(self.freshness.versions_differ)
         self.assertEqual(self.freshness.age_s(20.0), 10.0)
-        self.assertTrue(self.freshness.answered("servers", 11, 20.1))
+        self.assertTrue(self.freshness.record_answer("servers", 11, 20.1))
         self.assertEqual(self.freshness.age_s(20.1), 0.0)
 
     def test_answer_with_an_older_version(self) -> None:
         # After lost history the store may answer with an older version.
         for table in TABLES:
-            self.freshness.answered(table, 9, 10.0)
-        self.assertFalse(self.freshness.answered("op", 8, 20.0))
+            self.freshness.record_answer(table, 9, 10.0)
+        self.assertFalse(self.freshness.record_answer("op", 8, 20.0))
         self.assertEqual(self.freshness.age_s(20.0), 10.0)
 
     def test_age_reported_by_another_instance(self) -> None:
         self.freshness.tick(29.6)
         self.freshness.tick(30.0)
-        self.freshness.told(0.25, 30.0)
-        self.freshness.told(0.75, 30.0)
+        self.freshness.record_peer_age(0.25, 30.0)
+        self.freshness.record_peer_age(0.75, 30.0)
         self.assertEqual(self.freshness.age_s(30.5), 0.75)
 
     def test_messages_read_after_a_stall(self) -> None:
@@ -75,14 +75,14 @@
         # "not found".
         self.freshness.tick(30.0)
         late = 30.0 + 2 * STALL_S
-        self.freshness.told(0.1, late)
+        self.freshness.record_peer_age(0.1, late)
         self.assertEqual(self.freshness.age_s(late), float("inf"))
         self.freshness.tick(late)
-        self.freshness.told(0.1, late)
+        self.freshness.record_peer_age(0.1, late)
         self.assertEqual(self.freshness.age_s(late), float("inf"))
         now = late + IGNORE_AGES_S
         self.freshness.tick(now)
-        self.freshness.told(0.1, now)
+        self.freshness.record_peer_age(0.1, now)
         self.assertAlmostEqual(self.freshness.age_s(now), 0.1)
 
 
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -276,7 +276,7 @@
             self.followers.update_instances(
                 live, shared=self.world.shared, without_store=lost
             )
-            lags = self.freshness.lags
+            lags = self.freshness.versions_differ
             self.state.abort_waits_if_older(
                 self.followers.poll_age_s(lags=lags)
             )
