--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -32,6 +32,7 @@
 from jasminerelay.membership import ALIVE, LEAVING, Membership, Send
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
+from jasminerelay.peerstatus import PeerStatusTable
 from jasminerelay.placementclient import PlacementClient
 from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import (
@@ -45,7 +46,6 @@
     Snapshot,
     Standing,
 )
-from jasminerelay.standings import PeerStandings
 
 LOAD_INTERVAL_S = 0.1
 """Interval between load reports while loads change. With older reports several
@@ -129,7 +129,7 @@
         self._log = log
         self._rng = rng
         self._number = 0
-        self.standings = PeerStandings(registry, freshness)
+        self.standings = PeerStatusTable(registry, freshness)
         self._addresses: set[str] = set()
         self._live: set[str] = set()
         self._outbox, self._outgoing = anyio.create_memory_object_stream(
@@ -391,7 +391,9 @@
             return
         if self.standings.reports_store_loss(message.sender, message.standing):
             self.on_store_lost()
-        self.standings.hear(message.sender, message.standing, now, now_s())
+        self.standings.record_report(
+            message.sender, message.standing, now, now_s()
+        )
         loads = peerwords.load_rows(message.loads)
         self._dispatcher.apply_load_report(
             message.sender, message.number, loads, now
@@ -409,7 +411,7 @@
     async def _catch_up(self) -> None:
         while True:
             await anyio.sleep(LOAD_INTERVAL_S)
-            name = self.standings.ahead(time.monotonic())
+            name = self.standings.fetch_source(time.monotonic())
             if name is not None:
                 await self._fetch(name)
 
@@ -454,7 +456,7 @@
             self._log.trouble("instance_not_live", peer=name)
         self._live = live
         view = self.membership.view
-        self.standings.keep({member.instance for member in view})
+        self.standings.retain({member.instance for member in view})
 
 
 class SnapshotApp:
--- a/src/jasminerelay/standings.py
+++ b/src/jasminerelay/peerstatus.py
@@ -24,7 +24,7 @@
 considers itself isolated."""
 
 
-class PeerStandings:
+class PeerStatusTable:
     """The other instances' latest reports, compared with the local registry."""
 
     def __init__(self, registry: Registry, freshness: Freshness):
@@ -40,7 +40,7 @@
         self._behind_since: float | None = None
         self._newer_peer = ""
 
-    def hear(
+    def record_report(
         self, sender: str, standing: Standing, now: float, at: float
     ) -> None:
         """Records the standing that another instance reported.
@@ -73,7 +73,7 @@
             if standing.touch == StoreStatus.UNREACHABLE
         ]
 
-    def knows_newer(self, now: float) -> bool:
+    def newer_configuration_reported(self, now: float) -> bool:
         """Returns whether a newer configuration was reported recently."""
         own = self._registry.standing.configuration_version
         return any(
@@ -82,7 +82,7 @@
             for received_at, standing in self._reports.values()
         )
 
-    def ahead(self, now: float) -> str | None:
+    def fetch_source(self, now: float) -> str | None:
         """Returns the instance to fetch from; None if there is none now.
 
         There is one once this instance has been behind for long enough.
@@ -105,7 +105,7 @@
         latest = max(received_at for received_at, _ in self._reports.values())
         return now - latest > ISOLATED_S
 
-    def keep(self, names: Collection[str]) -> None:
+    def retain(self, names: Collection[str]) -> None:
         """Drops the reports of all instances but the named ones."""
         for name in [name for name in self._reports if name not in names]:
             del self._reports[name]
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -477,7 +477,9 @@
             return False
         if self.registry.has_unreadable_configuration:
             return False
-        return not self._peers.standings.knows_newer(time.monotonic())
+        return not self._peers.standings.newer_configuration_reported(
+            time.monotonic()
+        )
 
     def _accepts(self, time_limit_s: float) -> bool:
         if self._planned_stop is None:
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -398,7 +398,7 @@
     ),
     Safeguard(
         "an instance with outdated rows fetches them from another",
-        "standings",
+        "peerstatus",
         "if self._registry.is_behind(standing):",
         "if False:",
         "test_platforminstances.StoreOutageTest.test_learns_from_another_instance",
@@ -560,7 +560,7 @@
     Safeguard(
         "no final refusal once a newer configuration was announced",
         "platform/root",
-        "not self._peers.standings.knows_newer(time.monotonic())",
+        "not self._peers.standings.newer_configuration_reported(time.monotonic())",
         "True",
         "test_silentstore.SilentStoreTest.test_newer_version_not_yet_received",
     ),
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -19,12 +19,12 @@
 from jasminerelay.freshness import Freshness
 from jasminerelay.membership import ALIVE
 from jasminerelay.metrics import Counters
+from jasminerelay.peerstatus import PeerStatusTable
 from jasminerelay.platform.root import CURRENT_S
 from jasminerelay.platform.storeclient import CALL_TIMEOUT_S
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import Member, ServerRow
 from jasminerelay.schema.settings import Statsd
-from jasminerelay.standings import PeerStandings
 from jasminerelay.storefollowing import (
     INDIRECT_BATCH_PAUSE_S,
     LEADER_LONG_POLL_S,
@@ -169,7 +169,7 @@
             lambda data: types.SimpleNamespace(version=int(data)), decode
         )
         self.freshness = Freshness(TABLES)
-        self.standings = PeerStandings(self.registry, self.freshness)
+        self.standings = PeerStatusTable(self.registry, self.freshness)
         self.followers = FollowerRole(member.instance, member.zone)
         log, counters = silent_log(), Counters(Statsd())
         self.state = StoreMonitor(self.registry, self.freshness, log)
@@ -216,7 +216,9 @@
     def current(self) -> bool:
         """Whether the instance may give final refusals."""
         is_recent = self.freshness.age_s(now()) <= CURRENT_S
-        return is_recent and not self.standings.knows_newer(now())
+        return is_recent and not self.standings.newer_configuration_reported(
+            now()
+        )
 
     async def run(self) -> None:
         """Runs until its scope is cancelled."""
@@ -249,7 +251,7 @@
         """Processes a message."""
         if self.standings.reports_store_loss(sender.name, standing):
             self.state.check()
-        self.standings.hear(sender.name, standing, now(), now())
+        self.standings.record_report(sender.name, standing, now(), now())
         if standing.touch:
             self.followers.record_message(sender.name, now())
 
@@ -288,7 +290,7 @@
             await self._catch_up()
 
     async def _catch_up(self) -> None:
-        name = self.standings.ahead(now())
+        name = self.standings.fetch_source(now())
         other = self.world.nodes.get(name or "")
         if other is None or other.part != self.part:
             return
