--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -71,7 +71,7 @@
 """Time without a message after a missed probe until an instance counts as
 failed."""
 
-GREET_EVERY_S = 2.0
+JOIN_INTERVAL_S = 2.0
 """Interval between attempts to reach addresses of unknown instances."""
 
 EARLY_JOIN_INTERVAL_S = 0.2
@@ -129,7 +129,7 @@
         self._log = log
         self._rng = rng
         self._number = 0
-        self.standings = PeerStatusTable(registry, freshness)
+        self.peer_status = PeerStatusTable(registry, freshness)
         self._addresses: set[str] = set()
         self._live: set[str] = set()
         self._outbox, self._outgoing = anyio.create_memory_object_stream(
@@ -150,23 +150,23 @@
         return max(1, len(self.membership.live()))
 
     @property
-    def known(self) -> int:
+    def known_count(self) -> int:
         """Number of instances in the membership list, including failed ones."""
         return len(self.membership.view)
 
-    def meet(self, addresses: set[str]) -> None:
+    def add_addresses(self, addresses: set[str]) -> None:
         """Adds addresses at which other instances may listen."""
         self._addresses |= addresses - {self.membership.own.peers}
 
-    def enter(self) -> None:
+    def announce_ready(self) -> None:
         """Announces that this instance accepts callers."""
         self._send_all(self.membership.enter())
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Announces that this instance accepts no more callers."""
         self._send_all(self.membership.leave())
 
-    def wire_cells(
+    def connect_components(
         self,
         owned: OwnedCells,
         asking: PlacementClient,
@@ -185,7 +185,7 @@
         owned.answer = self._send_answer
         asking.send = self._send_to_owner
 
-    def tell(
+    def send_message(
         self, member: Member, message: CrashWord | LimitWord | DutyWord
     ) -> None:
         """Sends a message to another instance."""
@@ -229,7 +229,7 @@
             now = time.monotonic()
             is_early = now - began < EARLY_JOIN_PERIOD_S
             if now - last_tried_at > (
-                EARLY_JOIN_INTERVAL_S if is_early else GREET_EVERY_S
+                EARLY_JOIN_INTERVAL_S if is_early else JOIN_INTERVAL_S
             ):
                 last_tried_at = now
                 self._try_addresses()
@@ -241,11 +241,11 @@
             if len(self._owned) if self._uses_owners else changed:
                 self._send_loads()
             if rounds % FOLLOWER_ROUNDS == 0:
-                self.tell_standing()
+                self.notify_dependents()
             rounds += 1
             await anyio.sleep(LOAD_INTERVAL_S * self._rng.uniform(0.9, 1.1))
 
-    def tell_standing(self) -> None:
+    def notify_dependents(self) -> None:
         """Sends the data's versions to instances that depend on this one.
 
         Where the versions are newer, those instances fetch the rows from here
@@ -253,7 +253,7 @@
         """
         self._send_status(self._followers.change_recipients())
 
-    def tell_news(self) -> None:
+    def broadcast_confirmation(self) -> None:
         """Notifies the others that the store confirmed the data, or is lost.
 
         An instance that has the same or newer versions adopts this age for its
@@ -263,7 +263,7 @@
 
     def without_store(self) -> list[str]:
         """Returns the instances that lost the store; may include this one."""
-        lost = self.standings.without_store()
+        lost = self.peer_status.without_store()
         if self._registry.standing.touch == StoreStatus.UNREACHABLE:
             lost.append(self.membership.own.instance)
         return lost
@@ -389,9 +389,11 @@
         now = time.monotonic()
         if message.sender == self.membership.own.instance:
             return
-        if self.standings.reports_store_loss(message.sender, message.standing):
+        if self.peer_status.reports_store_loss(
+            message.sender, message.standing
+        ):
             self.on_store_lost()
-        self.standings.record_report(
+        self.peer_status.record_report(
             message.sender, message.standing, now, now_s()
         )
         loads = peerwords.load_rows(message.loads)
@@ -411,7 +413,7 @@
     async def _catch_up(self) -> None:
         while True:
             await anyio.sleep(LOAD_INTERVAL_S)
-            name = self.standings.fetch_source(time.monotonic())
+            name = self.peer_status.fetch_source(time.monotonic())
             if name is not None:
                 await self._fetch(name)
 
@@ -456,7 +458,7 @@
             self._log.trouble("instance_not_live", peer=name)
         self._live = live
         view = self.membership.view
-        self.standings.retain({member.instance for member in view})
+        self.peer_status.retain({member.instance for member in view})
 
 
 class SnapshotApp:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -162,7 +162,7 @@
 
     def meet(self, address: str) -> None:
         """Adds an address at which another instance may be reachable."""
-        self._peers.meet({address})
+        self._peers.add_addresses({address})
 
     async def run(self, *, signals: bool = True) -> None:
         """Runs the instance until its planned stop is complete.
@@ -290,10 +290,12 @@
             self.log,
             self._rng,
         )
-        self._peers.meet(set(boot.seeds))
+        self._peers.add_addresses(set(boot.seeds))
         self._peers.on_snapshot = self._merge_snapshot
         self._peers.on_store_lost = self._store_state.check
-        self._store_state.on_confirmed_or_lost = self._peers.tell_news
+        self._store_state.on_confirmed_or_lost = (
+            self._peers.broadcast_confirmation
+        )
         self._placement_queue = PlacementQueue(
             self.dispatcher.place,
             self.dispatcher.expect,
@@ -305,10 +307,10 @@
             member_id, self.registry, self.counters, self.log, self._rng
         )
         self._crashes.members = self._peers.membership.live
-        self._crashes.send = self._peers.tell
+        self._crashes.send = self._peers.send_message
         self._peers.on_crashes = self._crashes.hear
         self._rate_limits.placer = self._placement_client.owner_of_server
-        self._rate_limits.send = self._peers.tell
+        self._rate_limits.send = self._peers.send_message
         self._rate_limits.on_grant = self._retry_placement
         self._peers.on_limits = self._rate_limits.hear
         self._channels = ChannelPool(self._watchdog)
@@ -337,7 +339,7 @@
         )
         self._owned_cells.on_split = self._log_split
         self._follower_role = FollowerRole(member_id, boot.zone)
-        self._peers.wire_cells(
+        self._peers.connect_components(
             self._owned_cells, self._placement_client, self._follower_role
         )
 
@@ -353,7 +355,7 @@
             self.log,
         )
         if self._duties is not None:
-            self._duties.send = self._peers.tell
+            self._duties.send = self._peers.send_message
             self._peers.on_duty = self._duties.hear
 
     def _build_ports(self) -> None:
@@ -362,7 +364,7 @@
         evacuator = Evacuator(self.client, dialect, self.counters, self.log)
         self._registry_feed.on_leaving = evacuator.leaving
         self._registry_feed.on_removed = self._on_server_removed
-        self._registry_feed.on_changed = self._peers.tell_standing
+        self._registry_feed.on_changed = self._peers.notify_dependents
         kit = Kit(
             self.dispatcher,
             self._placement_client,
@@ -432,7 +434,7 @@
             self.log.trouble("snapshot_unreadable", peer=peer, why=str(exc))
             return
         self._registry_feed.report_changes(changes, peer)
-        self._peers.tell_standing()
+        self._peers.notify_dependents()
         self.log.trouble(
             "snapshot",
             peer=peer,
@@ -477,7 +479,7 @@
             return False
         if self.registry.has_unreadable_configuration:
             return False
-        return not self._peers.standings.newer_configuration_reported(
+        return not self._peers.peer_status.newer_configuration_reported(
             time.monotonic()
         )
 
@@ -491,7 +493,7 @@
         members = membership.live()
         if not self._ready or self._planned_stop is not None:
             members = [item for item in members if item is not membership.own]
-        isolated = self._peers.standings.isolated(time.monotonic())
+        isolated = self._peers.peer_status.isolated(time.monotonic())
         if self._store_state.lost and isolated:
             # Neither the store nor any other instance responds. More likely
             # this instance is partitioned than all others have crashed, and a
@@ -517,7 +519,9 @@
                     lags=self._freshness.versions_differ
                 )
             )
-            self._retry_budget.record_instance_count(self._peers.known, now)
+            self._retry_budget.record_instance_count(
+                self._peers.known_count, now
+            )
             ticks += 1
             if ticks % CHANNEL_CLEANUP_TICKS == 0:
                 await self._channels.close_expired()
@@ -528,11 +532,11 @@
             ):
                 self._ready = True
                 self.log.trouble("ready", **self._versions())
-                self._peers.enter()
+                self._peers.announce_ready()
 
     def _update_instances(self) -> None:
         live = self._peers.membership.live()
-        self._placement_client.update_instances(self._peers.known, live)
+        self._placement_client.update_instances(self._peers.known_count, live)
         self._follower_role.update_instances(
             live,
             shared=self._placement_client.active,
@@ -541,7 +545,7 @@
         if self._duties is not None:
             self._duties.saw_instances(live)
         self._rate_limits.saw_instances(
-            live, self._peers.known, time.monotonic()
+            live, self._peers.known_count, time.monotonic()
         )
         self.dispatcher.measures_step_times = not self._placement_client.active
 
@@ -553,7 +557,9 @@
                     await self._instance_table.register(self.boot.peers)
                     registered = True
                     await anyio.sleep(REGISTER_PAUSE_S)
-                self._peers.meet(await self._instance_table.addresses())
+                self._peers.add_addresses(
+                    await self._instance_table.addresses()
+                )
                 self._store_state.succeeded("instances")
                 await anyio.sleep(INSTANCES_POLL_S)
             except StoreError as exc:
@@ -579,7 +585,7 @@
             time.monotonic(), self.boot.grace_s
         )
         self.log.trouble("stopping", under_way=self._requests_in_flight())
-        self._peers.leave()
+        self._peers.announce_leaving()
         if self._duties is not None:
             self._duties.stop()
 
@@ -613,7 +619,7 @@
         if boot == self.boot:
             return
         self.boot = boot
-        self._peers.meet(set(boot.seeds))
+        self._peers.add_addresses(set(boot.seeds))
         self.log.trouble(
             "reload", source=source, settings=dataclasses.asdict(boot)
         )
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -560,7 +560,7 @@
     Safeguard(
         "no final refusal once a newer configuration was announced",
         "platform/root",
-        "not self._peers.standings.newer_configuration_reported(time.monotonic())",
+        "not self._peers.peer_status.newer_configuration_reported(time.monotonic())",
         "True",
         "test_silentstore.SilentStoreTest.test_newer_version_not_yet_received",
     ),
