--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -144,14 +144,16 @@
 
 def _membership(count: int) -> Membership:
     membership = Membership(_make_member(0), 2.0, random.Random(SEED))
-    membership.seed([_make_member(number) for number in range(1, count)], 0.0)
+    membership.add_seeds(
+        [_make_member(number) for number in range(1, count)], 0.0
+    )
     return membership
 
 
 def _gossip_cpu(count: int) -> float:
     """CPU time of a probe: sent, answered by the other member, answer read."""
     membership, responder = _membership(count), _membership(count)
-    responder.own = _make_member(1)
+    responder.own_member = _make_member(1)
     counter = iter(range(10**9))
 
     def step() -> None:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -161,7 +161,7 @@
         self._drain_started = time.monotonic()
         self._drain_requested.set()
         _log.info("planned stop started")
-        self._gossip.send(self.membership.leave())
+        self._gossip.send(self.membership.announce_leaving())
 
     def entries(self) -> entrylist.EntryList:
         """Returns the instances that callers should use, best first."""
@@ -178,7 +178,7 @@
         return {
             "instance": self.cfg.instance,
             "zone": self.cfg.zone,
-            "state": self.membership.own.state,
+            "state": self.membership.own_member.state,
             "manifest": {
                 "version": pointer.version,
                 "digest": pointer.digest,
@@ -273,7 +273,7 @@
             cfg.instance, self._brokers, self._peer_credentials, self.counters
         )
         self.permit_client = PermitDesk(
-            self.membership.own,
+            self.membership.own_member,
             self.membership.live,
             self._directory,
             self._broker_links.send,
@@ -285,7 +285,7 @@
         self._broker_links.set_handler(self.permit_client, self._peer_address)
 
         self._placer = Placer(
-            self.membership.own,
+            self.membership.own_member,
             self.membership.live,
             self._directory,
             self._table_client,
@@ -417,7 +417,7 @@
 
     def _publish_notice(self, server: str, *, leaving: bool) -> None:
         was_leaving = server in self.membership.leaving_servers()
-        self.membership.notice(Notice(server, leaving, _now_ms()))
+        self.membership.record_notice(Notice(server, leaving, _now_ms()))
         self.counters.incr("server.leaving" if leaving else "server.back")
         if (server in self.membership.leaving_servers()) != was_leaving:
             status_text = "is leaving" if leaving else "is available again"
@@ -436,7 +436,7 @@
         self.permit_client.set_leaving(leaving)
 
     def _on_verified(self, pointer: ManifestPointer) -> None:
-        self.membership.pointer = pointer
+        self.membership.manifest_pointer = pointer
         self._gossip.send(self.membership.push())
 
     def _on_adopted(self) -> None:
@@ -497,7 +497,7 @@
         while True:
             try:
                 members = await self._instance_list.members()
-                self.membership.seed(members, time.monotonic())
+                self.membership.add_seeds(members, time.monotonic())
                 self._has_instance_list = True
             except StoreError:
                 self.counters.incr("list.failed")
--- a/src/jasminerelay/membership.py
+++ b/src/jasminerelay/membership.py
@@ -92,7 +92,7 @@
             suspect_after_s: Time that a suspected instance has to refute.
             rng: Chooses the instances to probe.
         """
-        self.own = own
+        self.own_member = own
         self._suspect_after_s = suspect_after_s
         self._rng = rng
         self._peers: dict[str, _Peer] = {}
@@ -104,12 +104,15 @@
         self._transmissions_left: dict[str, int] = {own.instance: FANOUT}
         self._notices: dict[str, Notice] = {}
         self._notice_transmissions_left: dict[str, int] = {}
-        self.pointer = ManifestPointer(0, "")
+        self.manifest_pointer = ManifestPointer(0, "")
 
     @property
     def view(self) -> list[Member]:
         """The records of all known instances, this one first."""
-        return [self.own, *(peer.member for peer in self._peers.values())]
+        return [
+            self.own_member,
+            *(peer.member for peer in self._peers.values()),
+        ]
 
     def live(self) -> list[Member]:
         """Returns the instances that may receive new work."""
@@ -125,43 +128,43 @@
             notice.server for notice in self._notices.values() if notice.leaving
         }
 
-    def seed(self, members: Iterable[Member], now: float) -> None:
+    def add_seeds(self, members: Iterable[Member], now: float) -> None:
         """Adds members from the platform's list, unless already known.
 
         The list lags behind, so it does not replace newer records.
         """
         for member in members:
-            if member.instance == self.own.instance:
+            if member.instance == self.own_member.instance:
                 continue
             if member.instance not in self._peers:
                 self._peers[member.instance] = _Peer(member, now)
 
-    def leave(self) -> list[Send]:
+    def announce_leaving(self) -> list[Send]:
         """Announces that this instance accepts no new work."""
         self._update_own_record(LEAVING)
         return self.push()
 
-    def enter(self) -> list[Send]:
+    def announce_ready(self) -> list[Send]:
         """Announces that this instance accepts work from now on."""
         self._update_own_record(ALIVE)
         return self.push()
 
-    def greet(self, addresses: Iterable[str]) -> list[Send]:
+    def join_datagrams(self, addresses: Iterable[str]) -> list[Send]:
         """Returns datagrams to addresses whose instances are not known.
 
         The answers contain the members that those instances know, so a list of
         addresses, however stale, is enough to join.
         """
         known_addresses = {item.member.peers for item in self._peers.values()}
-        known_addresses.add(self.own.peers)
-        gossip = Gossip(PROBE, self.own, [], [], self.pointer)
+        known_addresses.add(self.own_member.peers)
+        gossip = Gossip(PROBE, self.own_member, [], [], self.manifest_pointer)
         return [
             Send(address, gossip)
             for address in addresses
             if address not in known_addresses
         ]
 
-    def notice(self, notice: Notice) -> bool:
+    def record_notice(self, notice: Notice) -> bool:
         """Records a notice on a server; returns whether its state changed."""
         held = self._notices.get(notice.server)
         if held is not None and held.stamp >= notice.stamp:
@@ -180,7 +183,7 @@
         """
         again = self._must_probe_again()
         self._update_states(now)
-        self._update_own_record(self.own.state)
+        self._update_own_record(self.own_member.state)
         target = self._probed if again else self._next_target()
         self._probed_twice = again
         self._probed = target
@@ -202,7 +205,7 @@
 
     def receive(self, gossip: Gossip, now: float) -> list[Send]:
         """Processes a datagram; returns the answer to it."""
-        if gossip.sender.instance == self.own.instance:
+        if gossip.sender.instance == self.own_member.instance:
             return []
         if self._probed == gossip.sender.instance:
             self._probed = None
@@ -212,7 +215,7 @@
         if sender is not None:
             sender.last_message_at = now
         for notice in gossip.notices:
-            self.notice(notice)
+            self.record_notice(notice)
         if gossip.kind != PROBE:
             return []
         if gossip.sender.instance not in self._peers:
@@ -220,7 +223,7 @@
         return [self._send(gossip.sender.instance, ACK)]
 
     def _merge_record(self, record: Member, now: float) -> None:
-        if record.instance == self.own.instance:
+        if record.instance == self.own_member.instance:
             # Each probe of this instance carries a newer record of it than
             # those that others hold.
             self._is_suspected |= record.state in (SUSPECT, FAILED)
@@ -264,8 +267,8 @@
         self._suspects_to_probe.append(record.instance)
 
     def _update_own_record(self, state: str) -> None:
-        self.own = dataclasses.replace(
-            self.own, state=state, beat=self.own.beat + 1
+        self.own_member = dataclasses.replace(
+            self.own_member, state=state, beat=self.own_member.beat + 1
         )
 
     def _must_probe_again(self) -> bool:
@@ -333,7 +336,9 @@
                 self._notice_transmissions_left, MAX_RECORDS
             )
         ]
-        gossip = Gossip(kind, self.own, members, notices, self.pointer)
+        gossip = Gossip(
+            kind, self.own_member, members, notices, self.manifest_pointer
+        )
         return Send(target.peers, gossip)
 
     def _take_least_sent(self, left: dict[str, int], count: int) -> list[str]:
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -156,15 +156,15 @@
 
     def add_addresses(self, addresses: set[str]) -> None:
         """Adds addresses at which other instances may listen."""
-        self._addresses |= addresses - {self.membership.own.peers}
+        self._addresses |= addresses - {self.membership.own_member.peers}
 
     def announce_ready(self) -> None:
         """Announces that this instance accepts callers."""
-        self._send_all(self.membership.enter())
+        self._send_all(self.membership.announce_ready())
 
     def announce_leaving(self) -> None:
         """Announces that this instance accepts no more callers."""
-        self._send_all(self.membership.leave())
+        self._send_all(self.membership.announce_leaving())
 
     def connect_components(
         self,
@@ -192,13 +192,13 @@
         self._send_to(member.peers, peerwords.encode(message))
 
     def _send_to_owner(self, owner: Member, message: PlaceWord) -> None:
-        if owner.instance == self.membership.own.instance:
+        if owner.instance == self.membership.own_member.instance:
             self._owned.handle_message(message)
         else:
             self._send_to(owner.peers, peerwords.encode(message))
 
     def _send_answer(self, address: str, message: OwnerWord) -> None:
-        if address == self.membership.own.peers:
+        if address == self.membership.own_member.peers:
             self._asking.handle_message(message)
         else:
             self._send_to(address, peerwords.encode(message))
@@ -209,7 +209,7 @@
 
     async def run(self) -> None:
         """Exchanges messages with the other instances until cancelled."""
-        host, _, port = self.membership.own.peers.rpartition(":")
+        host, _, port = self.membership.own_member.peers.rpartition(":")
         async with (
             await anyio.create_udp_socket(
                 local_host=host, local_port=int(port)
@@ -265,7 +265,7 @@
         """Returns the instances that lost the store; may include this one."""
         lost = self.peer_status.without_store()
         if self._registry.standing.touch == StoreStatus.UNREACHABLE:
-            lost.append(self.membership.own.instance)
+            lost.append(self.membership.own_member.instance)
         return lost
 
     def _send_status(self, members: list[Member]) -> None:
@@ -276,7 +276,7 @@
             self._send_to(member.peers, data)
 
     def _try_addresses(self) -> None:
-        sends = self.membership.greet(self._addresses)
+        sends = self.membership.join_datagrams(self._addresses)
         count = min(JOIN_FANOUT, len(sends))
         self._send_all(self._rng.sample(sends, count))
 
@@ -316,7 +316,7 @@
             demand = self._dispatcher.own_demand()
         return PeerWord(
             gossip,
-            self.membership.own.instance,
+            self.membership.own_member.instance,
             self._number,
             self._own_status(),
             peerwords.load_columns(loads),
@@ -387,7 +387,7 @@
 
     def _handle_peer_message(self, message: PeerWord) -> None:
         now = time.monotonic()
-        if message.sender == self.membership.own.instance:
+        if message.sender == self.membership.own_member.instance:
             return
         if self.peer_status.reports_store_loss(
             message.sender, message.standing
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -346,7 +346,7 @@
     def _build_duties(self) -> None:
         self._duties: Duties | None = build_duties(
             self.boot,
-            self._peers.membership.own,
+            self._peers.membership.own_member,
             self._store,
             self.client,
             self.dispatcher,
@@ -492,7 +492,9 @@
         membership = self._peers.membership
         members = membership.live()
         if not self._ready or self._planned_stop is not None:
-            members = [item for item in members if item is not membership.own]
+            members = [
+                item for item in members if item is not membership.own_member
+            ]
         isolated = self._peers.peer_status.isolated(time.monotonic())
         if self._store_state.lost and isolated:
             # Neither the store nor any other instance responds. More likely
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -203,8 +203,8 @@
     Safeguard(
         "a resumed instance refutes its failure",
         "membership",
-        "self.own, state=state, beat=self.own.beat + 1",
-        "self.own, state=state",
+        "self.own_member, state=state, beat=self.own_member.beat + 1",
+        "self.own_member, state=state",
         "test_membership.MembershipTest.test_resumed_instance_refutes",
     ),
     Safeguard(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -37,9 +37,9 @@
         self.loss = 0.0
         self.down: set[str] = set()
         self.sent = 0
-        records = [view.own for view in self.views.values()]
+        records = [view.own_member for view in self.views.values()]
         for view in self.views.values():
-            view.seed(records, self.now)
+            view.add_seeds(records, self.now)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -131,7 +131,7 @@
     def test_departure_reaches_all(self) -> None:
         network = Network(8)
         network.run(3.0)
-        network.deliver("i0", network.views["i0"].leave())
+        network.deliver("i0", network.views["i0"].announce_leaving())
         network.run(4.0)
         for name in network.views:
             self.assertEqual(network.states(name)["i0"], LEAVING)
@@ -142,8 +142,8 @@
         network.views["i1"] = Membership(
             member("i1", "2"), SUSPECT_S, network.rng
         )
-        network.views["i1"].seed(
-            [view.own for view in network.views.values()], network.now
+        network.views["i1"].add_seeds(
+            [view.own_member for view in network.views.values()], network.now
         )
         network.run(6.0)
         for name, view in network.views.items():
@@ -192,20 +192,20 @@
     def test_notice_reaches_all(self) -> None:
         network = Network(16)
         network.run(2.0)
-        network.views["i0"].notice(Notice("server", True, 5))
+        network.views["i0"].record_notice(Notice("server", True, 5))
         network.deliver("i0", network.views["i0"].push())
         network.run(3.0)
         for view in network.views.values():
             self.assertEqual(view.leaving_servers(), {"server"})
-        network.views["i1"].notice(Notice("server", False, 6))
+        network.views["i1"].record_notice(Notice("server", False, 6))
         network.run(6.0)
         for view in network.views.values():
             self.assertEqual(view.leaving_servers(), set())
 
     def test_pointer_travels_with_every_datagram(self) -> None:
         view = Membership(member("a"), SUSPECT_S, random.Random(1))
-        view.seed([member("b")], 0.0)
-        view.pointer = ManifestPointer(7, "d")
+        view.add_seeds([member("b")], 0.0)
+        view.manifest_pointer = ManifestPointer(7, "d")
         (sent,) = view.probe(0.0)
         self.assertEqual(sent.gossip.manifest.version, 7)
 
