--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -9,7 +9,7 @@
 import httpcore
 
 from jasminerelay import sse
-from jasminerelay.catalog import BackendServer, Call, Repeat, Route
+from jasminerelay.catalog import BackendServer, Call, RepeatPolicy, Route
 from jasminerelay.channels import AnswerTimeoutError, Channel, ChannelPool
 from jasminerelay.crashwatch import CrashWatch
 from jasminerelay.dispatcher import Dispatcher
@@ -133,7 +133,7 @@
 
     def may_repeat(self, route: Route) -> bool:
         """Returns whether one more server may run it after the current one."""
-        if route.repeat is Repeat.ONCE:
+        if route.repeat_policy is RepeatPolicy.ONCE:
             return False
         return self.ran + 1 < route.max_servers
 
@@ -174,7 +174,7 @@
         self, reservation: Reservation, channel: Channel, done: "_Completion"
     ) -> Outcome:
         server = channel.server
-        left_s = self._call.ends - time.monotonic()
+        left_s = self._call.answer_deadline - time.monotonic()
         copy, self._progress.copy = self._progress.copy, None
         self._continues_run = copy is not None
         sending = Sending(
@@ -396,15 +396,17 @@
 
     def _answer_timeout_s(self) -> float:
         route = self._call.route
-        if route.repeat is Repeat.IDEMPOTENT and self._progress.may_repeat(
-            route
+        if (
+            route.repeat_policy is RepeatPolicy.IDEMPOTENT
+            and self._progress.may_repeat(route)
         ):
             return max(
                 MIN_IDEMPOTENT_TIMEOUT_S,
                 IDEMPOTENT_TIMEOUT_FACTOR * route.objective_s,
             )
-        if route.repeat is Repeat.RESUMABLE and self._progress.may_repeat(
-            route
+        if (
+            route.repeat_policy is RepeatPolicy.RESUMABLE
+            and self._progress.may_repeat(route)
         ):
             return max(
                 MIN_STREAM_TIMEOUT_S, STREAM_TIMEOUT_PAUSES * route.pause_s
--- a/src/jasminerelay/catalog.py
+++ b/src/jasminerelay/catalog.py
@@ -13,7 +13,7 @@
 BYTE_BITS = 8
 
 
-class Repeat(enum.Enum):
+class RepeatPolicy(enum.Enum):
     """Whether a request may be sent to a second backend server.
 
     Attributes:
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Share:
+class ServiceShare:
     """A service's share of a route's requests.
 
     Attributes:
@@ -49,7 +49,7 @@
         name: Its name, which also names the kind of work in load estimates.
         host: Host in the request, in lower case.
         prefix: Leading path segments, from slash to slash.
-        repeat: Whether a request may be repeated.
+        repeat_policy: Whether a request may be repeated.
         streaming: Whether answers are event streams.
         timeout_s: Maximum time from a request to the end of its answer.
         objective_s: Target time to the answer, or to a stream's first event;
@@ -61,24 +61,24 @@
         max_servers: Maximum number of backend servers that may run one request.
         anonymous: Whether callers need no key.
         model: Whether requests carry a prompt for a model engine.
-        patience_s: Time without an event after which callers abandon a stream,
+        caller_idle_timeout_s: Time without an event after which callers abandon a stream,
             also before its first event.
     """
 
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat_policy: RepeatPolicy
     streaming: bool
     timeout_s: float
     objective_s: float
     pause_s: float
     rank: int
-    services: tuple[Share, ...]
+    services: tuple[ServiceShare, ...]
     max_servers: int
     anonymous: bool
     model: bool
-    patience_s: float = math.inf
+    caller_idle_timeout_s: float = math.inf
 
     def serves(self, service: str) -> bool:
         """Returns whether some of its requests go to a service."""
@@ -106,8 +106,8 @@
         backups: Whether the KV cache of an in-flight request can be copied to a
             second server while it grows.
         event_tokens: Tokens in one event of a stream.
-        moves: Whether an in-flight request can be moved to another server.
-        link_bits_s: Bandwidth of one server's link to the others, in bits per
+        supports_moves: Whether an in-flight request can be moved to another server.
+        link_bits_per_s: Bandwidth of one server's link to the others, in bits per
             second; 0 if unknown.
     """
 
@@ -116,14 +116,14 @@
     token_bytes: int
     backups: bool
     event_tokens: int
-    moves: bool = False
-    link_bits_s: float = 0.0
+    supports_moves: bool = False
+    link_bits_per_s: float = 0.0
 
     def transfer_s(self, tokens: float) -> float:
         """Returns the time to copy the KV cache of a number of tokens."""
-        if not self.link_bits_s:
+        if not self.link_bits_per_s:
             return math.inf
-        return tokens * self.token_bytes * BYTE_BITS / self.link_bits_s
+        return tokens * self.token_bytes * BYTE_BITS / self.link_bits_per_s
 
 
 @dataclasses.dataclass(frozen=True)
@@ -131,8 +131,8 @@
     """Limits on ordering servers of a service, and their prices.
 
     Attributes:
-        least: Minimum number of servers in an availability zone.
-        most: Maximum number, on-demand and preemptible servers together.
+        min_servers: Minimum number of servers in an availability zone.
+        max_servers: Maximum number, on-demand and preemptible servers together.
         boot_s: Time from ordering a server to its first request.
         preemptible_price: Price of a preemptible server as a fraction of the
             usual price; None if there are none.
@@ -140,8 +140,8 @@
             that are not listed have no price.
     """
 
-    least: int
-    most: int
+    min_servers: int
+    max_servers: int
     boot_s: float
     preemptible_price: float | None
     zone_prices: Mapping[str, float]
@@ -166,7 +166,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Bounds:
+class RequestLimits:
     """Limits on the size and duration of callers' requests.
 
     The defaults apply until the first configuration is received.
@@ -174,19 +174,19 @@
     Attributes:
         body_bytes: Maximum size of a request's body.
         head_bytes: Maximum size of a request's head.
-        head_s: Maximum time from the first byte of a head to its last.
-        idle_s: Maximum pause inside a body, and maximum time that a connection
+        head_timeout_s: Maximum time from the first byte of a head to its last.
+        idle_timeout_s: Maximum pause inside a body, and maximum time that a connection
             may stay open without a request.
     """
 
     body_bytes: int = 1 << 22
     head_bytes: int = 1 << 16
-    head_s: float = 10.0
-    idle_s: float = 60.0
+    head_timeout_s: float = 10.0
+    idle_timeout_s: float = 60.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Holder:
+class KeyHolder:
     """The organisation that holds an API key.
 
     Attributes:
@@ -245,17 +245,17 @@
         version: The operator's version number; later versions are higher.
         routes: All routes.
         services: Services by name.
-        holders: Organisations by API key.
-        keyed: Whether requests need an API key at all.
+        key_holders: Organisations by API key.
+        requires_keys: Whether requests need an API key at all.
         bounds: Limits on callers' requests.
     """
 
     version: int
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
-    holders: Mapping[str, Holder]
-    keyed: bool
-    bounds: Bounds
+    key_holders: Mapping[str, KeyHolder]
+    requires_keys: bool
+    bounds: RequestLimits
 
     def __post_init__(self) -> None:
         by_host: dict[str, list[Route]] = {}
@@ -268,7 +268,7 @@
         ranks = {route.rank for route in self.routes if route.model}
         object.__setattr__(self, "_route_ranks", sorted(ranks))
 
-    def urgent(self, rank: int, route: Route) -> bool:
+    def is_urgent(self, rank: int, route: Route) -> bool:
         """Returns whether engines serve a request before others.
 
         A full engine preempts the newest of all requests that are less urgent
@@ -283,9 +283,9 @@
         ranks: list[int] = self._route_ranks  # type: ignore
         if len(ranks) > 1:
             return route.rank == ranks[0]
-        return self.level_of(rank, route) == 0
+        return self.priority_level_of(rank, route) == 0
 
-    def level_of(self, rank: int, route: Route) -> int:
+    def priority_level_of(self, rank: int, route: Route) -> int:
         """Returns the priority level of a model request among all.
 
         An organisation's priority takes precedence over its routes' priorities
@@ -301,7 +301,7 @@
         return levels.get((rank, route.rank), rank)
 
     def _dense_levels(self) -> dict[tuple[int, int], int]:
-        holder_ranks = {holder.rank for holder in self.holders.values()}
+        holder_ranks = {holder.rank for holder in self.key_holders.values()}
         if holder_ranks <= {None}:
             # No organisation has a rank, so the routes' ranks are used
             # unchanged.
@@ -354,14 +354,14 @@
     expected_output: int | None
 
     @property
-    def shared(self) -> tuple[PromptPart, ...]:
+    def shared_parts(self) -> tuple[PromptPart, ...]:
         """The parts that other requests may contain too."""
         return self.parts[:-1]
 
     @property
     def shared_tokens(self) -> int:
         """Number of tokens in the shared parts."""
-        return sum(part.tokens for part in self.shared)
+        return sum(part.tokens for part in self.shared_parts)
 
     @property
     def own_tokens(self) -> int:
@@ -386,10 +386,10 @@
         headers: Header fields to forward.
         body: The complete body.
         prompt: Set for model requests.
-        last_event: Id of the last event that the caller received of an earlier
+        last_event_id: Id of the last event that the caller received of an earlier
             answer; "" for a new request.
-        arrived: Monotonic time at which it was read, in seconds.
-        ends: Monotonic time by which its final answer must be sent.
+        arrived_at: Monotonic time at which it was read, in seconds.
+        answer_deadline: Monotonic time by which its final answer must be sent.
     """
 
     id: str
@@ -404,6 +404,6 @@
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
     prompt: Prompt | None
-    last_event: str
-    arrived: float
-    ends: float
+    last_event_id: str
+    arrived_at: float
+    answer_deadline: float
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -313,7 +313,7 @@
         comparison = self.token_times.compare(
             (item.id for item in servers), now
         )
-        shared = call.prompt.shared if call.prompt is not None else ()
+        shared = call.prompt.shared_parts if call.prompt is not None else ()
         part_hashes = tuple(part_hash(part.id) for part in shared)
         return [
             Option(
@@ -379,7 +379,7 @@
         longer pauses cost it little, and its prefill is too short to delay the
         streams of other kinds.
         """
-        late = now - call.arrived > call.route.objective_s
+        late = now - call.arrived_at > call.route.objective_s
         return late and call.prompt.tokens <= self._max_concurrent_prefill(
             call.service
         )
@@ -527,9 +527,11 @@
         stream stays for as long as a faster engine could still finish it.
         """
         engine = self.engine_of(call.service)
-        if engine is None or not engine.moves:
+        if engine is None or not engine.supports_moves:
             return False
-        left_s = (call.ends - time.monotonic()) * CURRENT_SERVER_SHARE
+        left_s = (
+            call.answer_deadline - time.monotonic()
+        ) * CURRENT_SERVER_SHARE
         if self.remaining_s(call, server, events) < left_s:
             return False
         speeds = self._speeds(call.service)
@@ -592,12 +594,14 @@
     def expect(self, call: Call, ahead_s: float) -> WaitEstimate:
         """Returns a wait estimate for a queued request."""
         now = time.monotonic()
-        left_s = call.ends - now
+        left_s = call.answer_deadline - now
         servers = self._registry.servers_of(call.service)
         if not servers:
             # The next update of the registry may bring servers; a short wait
             # costs the caller less than a retry.
-            return WaitEstimate(now - call.arrived, 0.0, call.route.objective_s)
+            return WaitEstimate(
+                now - call.arrived_at, 0.0, call.route.objective_s
+            )
         servers = self._unlimited(servers)
         if not servers:
             return self._expect_limited(call, ahead_s, left_s)
@@ -610,7 +614,7 @@
         queue_delay_s = queue.prefill_delay_s + ahead_s * queue.share
         first_s = self._speeds(call.service).first_s(call.prompt.own_tokens)
         own_s = first_s + self._output_estimate(call).output * queue.token_s
-        patience_s = call.arrived + call.route.patience_s - now
+        patience_s = call.arrived_at + call.route.caller_idle_timeout_s - now
         return WaitEstimate(queue_delay_s, own_s, left_s, first_s, patience_s)
 
     def _expect_limited(
@@ -654,7 +658,7 @@
         # If streams can be moved, a long answer can continue at any server,
         # also one without prefill.
         engine = self.engine_of(service)
-        moves = engine is not None and engine.moves
+        moves = engine is not None and engine.supports_moves
         decoding = [item.id for item in servers] if moves else names
         unread = sum(self.workload.load(name).unread for name in names)
         speeds = self._speeds(service)
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -7,7 +7,7 @@
 
 from jasminerelay import fingerprint
 from jasminerelay.attempt import OK, Attempt, Kit, Progress
-from jasminerelay.catalog import BackendServer, Call, Repeat
+from jasminerelay.catalog import BackendServer, Call, RepeatPolicy
 from jasminerelay.errors import CrashingRequestError, NoRoomError
 from jasminerelay.exchange import (
     Delivered,
@@ -39,7 +39,7 @@
         self._kit = kit
         self._call = call
         self._sink = sink
-        self._progress = Progress(call.last_event)
+        self._progress = Progress(call.last_event_id)
         self._attempt = Attempt(kit, call, sink, self._progress)
         self._unsent_attempts = 0
         self._not_run_attempts = 0
@@ -53,10 +53,12 @@
         """Serves the request; cancelled when the caller disconnects."""
         call = self._call
         self._kit.dispatcher.record_arrival(call)
-        self._kit.budget.record_request(call.service, call.arrived)
+        self._kit.budget.record_request(call.service, call.arrived_at)
         ended = "caller left"
         try:
-            with anyio.move_on_after(call.ends - time.monotonic()) as scope:
+            with anyio.move_on_after(
+                call.answer_deadline - time.monotonic()
+            ) as scope:
                 await self._serve()
             if scope.cancelled_caught:
                 await self._handle_timeout()
@@ -182,7 +184,10 @@
         This includes a moved run: without its KV cache no server may restart
         it, even if the server that it was moved to has rejected it.
         """
-        return self._progress.ran > 0 and self._call.route.repeat is Repeat.ONCE
+        return (
+            self._progress.ran > 0
+            and self._call.route.repeat_policy is RepeatPolicy.ONCE
+        )
 
     def keep_answer(self, failed: Failed) -> None:
         """Keeps a server's error, to send if no later attempt succeeds."""
@@ -270,8 +275,8 @@
         write = self._kit.log.info if good else self._kit.log.trouble
         first_s = None
         if progress.first_at:
-            first_s = round(progress.first_at - call.arrived, 3)
-        total_s = round(now - call.arrived, 3)
+            first_s = round(progress.first_at - call.arrived_at, 3)
+        total_s = round(now - call.arrived_at, 3)
         self._kit.counters.incr(f"answer.{progress.status or 'none'}")
         self._kit.telemetry.answered(call.rank, first_s, total_s)
         write(
@@ -287,11 +292,11 @@
             servers=progress.tried,
             owners=progress.owners,
             events=progress.events,
-            waited_s=round((self._placed_at or now) - call.arrived, 3),
+            waited_s=round((self._placed_at or now) - call.arrived_at, 3),
             first_s=first_s,
             pause_s=round(progress.pause_s, 3),
             total_s=total_s,
-            limit_s=round(call.ends - call.arrived, 3),
+            limit_s=round(call.answer_deadline - call.arrived_at, 3),
             tokens=_token_counts(call),
             fingerprint=fingerprint.of(call) if self._log_fingerprint else "",
             **self._kit.versions(),
--- a/src/jasminerelay/ordering.py
+++ b/src/jasminerelay/ordering.py
@@ -110,7 +110,7 @@
         queue = self._queues.get(name)
         if queue is None:
             queue = SortedKeyList(
-                key=lambda item: (item.deadline, item.arrived, item.ask_id)
+                key=lambda item: (item.deadline, item.arrived_at, item.ask_id)
             )
             self._queues[name] = queue
             # An organisation that was idle starts at the tier's virtual
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -274,7 +274,7 @@
         count = len(cells.cells_of(self._registry.server_ids_of(call.service)))
         if not count:
             return None
-        shared = call.prompt.shared if call.prompt is not None else ()
+        shared = call.prompt.shared_parts if call.prompt is not None else ()
         key = shared[-1].id if shared else call.id
         cell = (call.service, cells.cell_of_key(key, count))
         owner = self._owner(cell)
--- a/src/jasminerelay/placementqueue.py
+++ b/src/jasminerelay/placementqueue.py
@@ -76,8 +76,8 @@
         is late already; then by arrival.
         """
         call = self.call
-        late = now + self.first_s - call.arrived > call.route.objective_s
-        return (call.rank, call.route.rank, late, call.arrived)
+        late = now + self.first_s - call.arrived_at > call.route.objective_s
+        return (call.rank, call.route.rank, late, call.arrived_at)
 
 
 class RequestPlacer(Protocol):
--- a/src/jasminerelay/placewords.py
+++ b/src/jasminerelay/placewords.py
@@ -42,7 +42,7 @@
         now: Monotonic time.
     """
     prompt = call.prompt
-    shared = prompt.shared if prompt is not None else ()
+    shared = prompt.shared_parts if prompt is not None else ()
     hint = prompt.expected_output if prompt is not None else None
     return PlaceAsk(
         number=number,
@@ -50,8 +50,8 @@
         route=call.route.name,
         rank=call.rank,
         first=not avoid,
-        age_ms=round(MS * (now - call.arrived)),
-        left_ms=round(MS * (call.ends - now)),
+        age_ms=round(MS * (now - call.arrived_at)),
+        left_ms=round(MS * (call.answer_deadline - now)),
         avoid=sorted(avoid),
         own_tokens=prompt.own_tokens if prompt is not None else NO_VALUE,
         max_output=prompt.max_output if prompt is not None else 0,
@@ -86,9 +86,9 @@
         headers=(),
         body=b"",
         prompt=_prompt_of(request),
-        last_event="",
-        arrived=now - request.age_ms / MS,
-        ends=now + request.left_ms / MS,
+        last_event_id="",
+        arrived_at=now - request.age_ms / MS,
+        answer_deadline=now + request.left_ms / MS,
     )
 
 
--- a/src/jasminerelay/placing.py
+++ b/src/jasminerelay/placing.py
@@ -185,7 +185,7 @@
     all_known = all(item.cache_known for item in candidates)
     if best.available and (all_known or best.placed.server.id == first_choice):
         return best.placed
-    left_s = call.arrived + call.route.objective_s - now
+    left_s = call.arrived_at + call.route.objective_s - now
     if not best.available and best.first_s < left_s * CACHE_WAIT_SHARE:
         return Wait("the server with the cached prompt prefix is full")
     with_capacity = [item for item in scored if item.available]
@@ -332,7 +332,7 @@
 
 def _preference_order(call: Call, options: Sequence[Option]) -> list[str]:
     """Returns the servers in the order in which all instances prefer them."""
-    shared = call.prompt.shared
+    shared = call.prompt.shared_parts
     key = shared[-1].id if shared else call.id
     return rendezvous.rank(key, [item.server.id for item in options])
 
--- a/src/jasminerelay/platform/documents.py
+++ b/src/jasminerelay/platform/documents.py
@@ -9,15 +9,15 @@
 
 from jasminerelay.catalog import (
     BackendServer,
-    Bounds,
     Catalog,
     Engine,
-    Holder,
-    Repeat,
+    KeyHolder,
+    RepeatPolicy,
+    RequestLimits,
     Route,
     Scaling,
     Service,
-    Share,
+    ServiceShare,
 )
 
 MS_PER_S = 1000.0
@@ -159,7 +159,7 @@
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
         raise DocumentError(f"configuration: {exc}") from exc
     holders = {
-        key: Holder(item.name, item.rank)
+        key: KeyHolder(item.name, item.rank)
         for item in raw.organisations or ()
         for key in item.keys
     }
@@ -169,7 +169,7 @@
         {item.name: _service(item) for item in raw.services},
         holders,
         raw.organisations is not None,
-        Bounds(
+        RequestLimits(
             raw.limits.body_bytes,
             raw.limits.head_bytes,
             raw.limits.head_ms / MS_PER_S,
@@ -227,12 +227,16 @@
 def _route(raw: _Route) -> Route:
     streaming = raw.kind == STREAMING
     if streaming:
-        repeat = Repeat.RESUMABLE if raw.resume else Repeat.ONCE
+        repeat = RepeatPolicy.RESUMABLE if raw.resume else RepeatPolicy.ONCE
     else:
-        repeat = Repeat.IDEMPOTENT if raw.kind == IDEMPOTENT else Repeat.ONCE
-    shares = [Share(item.service, item.weight) for item in raw.split]
+        repeat = (
+            RepeatPolicy.IDEMPOTENT
+            if raw.kind == IDEMPOTENT
+            else RepeatPolicy.ONCE
+        )
+    shares = [ServiceShare(item.service, item.weight) for item in raw.split]
     if raw.service:
-        shares = [Share(raw.service, 1.0)]
+        shares = [ServiceShare(raw.service, 1.0)]
     return Route(
         raw.name,
         raw.host.lower(),
--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -8,7 +8,7 @@
 import anyio
 
 from jasminerelay.attempt import Kit
-from jasminerelay.catalog import Bounds, Call, Catalog, Route
+from jasminerelay.catalog import Call, Catalog, RequestLimits, Route
 from jasminerelay.errors import (
     BadRequestError,
     NotFoundError,
@@ -92,7 +92,7 @@
         arrived = time.monotonic()
         body = await self._body(receive)
         call = self._call(scope, body, arrived)
-        if not self._context.accepts(call.ends - arrived):
+        if not self._context.accepts(call.answer_deadline - arrived):
             raise NotReadyError("this instance is shutting down", retry_s=0.05)
         delivery = Delivery(self._context.kit, call, sink)
         async with anyio.create_task_group() as group:
@@ -104,14 +104,16 @@
 
     async def _body(self, receive) -> bytes:
         catalog = self._context.catalog()
-        bounds = catalog.bounds if catalog else Bounds()
+        bounds = catalog.bounds if catalog else RequestLimits()
         parts: list[bytes] = []
         size = 0
         while True:
-            with anyio.move_on_after(bounds.idle_s) as scope:
+            with anyio.move_on_after(bounds.idle_timeout_s) as scope:
                 message = await receive()
             if scope.cancelled_caught:
-                raise TooSlowError(f"no data received for {bounds.idle_s:g} s")
+                raise TooSlowError(
+                    f"no data received for {bounds.idle_timeout_s:g} s"
+                )
             if message["type"] == "http.disconnect":
                 raise CallerDisconnectedError
             parts.append(message.get("body", b""))
@@ -136,8 +138,8 @@
             self._require_current("no route for this host and path")
             raise NotFoundError(f"no route for {host}{path[:80]}")
         holder = None
-        if catalog.keyed and not route.anonymous:
-            holder = catalog.holders.get(headers.bearer_key(by_name) or "")
+        if catalog.requires_keys and not route.anonymous:
+            holder = catalog.key_holders.get(headers.bearer_key(by_name) or "")
             if holder is None:
                 self._require_current("unknown API key")
                 raise UnknownKeyError("the key belongs to no organisation")
@@ -151,7 +153,7 @@
             route,
             route.pick_service(self._context.kit.rng),
             rank,
-            catalog.urgent(rank, route),
+            catalog.is_urgent(rank, route),
             holder.name if holder else "",
             scope["method"],
             host,
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -14,7 +14,7 @@
 
 from jasminerelay import entrylist, headbound, ports, stopsignals
 from jasminerelay.attempt import Kit
-from jasminerelay.catalog import Bounds, Catalog
+from jasminerelay.catalog import Catalog, RequestLimits
 from jasminerelay.channels import ChannelPool
 from jasminerelay.crashwatch import CrashWatch
 from jasminerelay.dispatcher import Dispatcher
@@ -414,8 +414,10 @@
 
     def _request_head_bounds(self) -> HeadBounds:
         catalog = self.registry.catalog
-        bounds = catalog.bounds if catalog else Bounds()
-        return HeadBounds(bounds.head_bytes, bounds.head_s, bounds.idle_s)
+        bounds = catalog.bounds if catalog else RequestLimits()
+        return HeadBounds(
+            bounds.head_bytes, bounds.head_timeout_s, bounds.idle_timeout_s
+        )
 
     def _retry_placement(self) -> None:
         """Places queued requests once a server accepts requests again."""
--- a/src/jasminerelay/scaling.py
+++ b/src/jasminerelay/scaling.py
@@ -155,7 +155,9 @@
         # Cheaper zones get the remainder of an uneven division.
         prices = scaling.zone_prices
         zones = sorted(prices, key=lambda zone: (prices[zone], zone))
-        parts = _spread_evenly(self._target, zones, scaling.least, scaling.most)
+        parts = _spread_evenly(
+            self._target, zones, scaling.min_servers, scaling.max_servers
+        )
         if scaling.preemptible_price is None:
             return self._due_orders(False, parts, scaling, now)
         gone = {
@@ -166,7 +168,7 @@
             # An unavailable zone keeps one on order to show when it is back.
             zone: min(
                 1 if zone in gone else parts[zone],
-                max(0, scaling.most - on_demand[zone]),
+                max(0, scaling.max_servers - on_demand[zone]),
             )
             for zone in zones
         }
@@ -216,7 +218,7 @@
             self._surplus_since = None
             zones_by_need = sorted(zones, key=lambda zone: zone not in gone)
             capacity = {
-                zone: scaling.most
+                zone: scaling.max_servers
                 - (1 if zone in gone else preemptible_pools[i].desired)
                 for i, zone in enumerate(zones)
             }
@@ -319,8 +321,8 @@
         self._had_work = self._had_work or work > 0
         needed = _servers_needed(price, work)
         zones = len(scaling.zone_prices)
-        max_servers = scaling.most * zones
-        needed = min(max_servers, max(scaling.least * zones, needed))
+        max_servers = scaling.max_servers * zones
+        needed = min(max_servers, max(scaling.min_servers * zones, needed))
         self._target = min(max_servers, self._target)
         if not work or needed >= self._target * (1 - MIN_SHRINK_SHARE):
             self._target = max(self._target, needed)
--- a/tests/crashworld.py
+++ b/tests/crashworld.py
@@ -3,7 +3,13 @@
 import anyio
 
 from jasminerelay import fingerprint
-from jasminerelay.catalog import BackendServer, Call, Repeat, Route, Share
+from jasminerelay.catalog import (
+    BackendServer,
+    Call,
+    RepeatPolicy,
+    Route,
+    ServiceShare,
+)
 from jasminerelay.crashwatch import CrashWatch
 from jasminerelay.schema.messages import ServerEnds
 from tests.instanceworld import InstanceWorld, Node, Quiet
@@ -197,8 +203,8 @@
 def call(body: bytes) -> Call:
     """Returns a request."""
     route = Route(
-        "sheet", "h", "/", Repeat.ONCE, True, 15.0, 2.0, 1.0, 0,
-        (Share(SERVICE, 1.0),), 1, False, True,
+        "sheet", "h", "/", RepeatPolicy.ONCE, True, 15.0, 2.0, 1.0, 0,
+        (ServiceShare(SERVICE, 1.0),), 1, False, True,
     )  # fmt: skip
     return Call(
         "a", route, SERVICE, 0, 0, "elm", "POST", "h", b"/x", (), body, None,
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -357,7 +357,7 @@
     Safeguard(
         "requests that may run once are not repeated",
         "attempt",
-        "if route.repeat is Repeat.ONCE:",
+        "if route.repeat_policy is RepeatPolicy.ONCE:",
         "if False:",
         "test_platform.FailuresTest.test_once_is_not_repeated",
     ),
@@ -451,7 +451,7 @@
     Safeguard(
         "a body that pauses for too long is refused",
         "platform/ingress",
-        "with anyio.move_on_after(bounds.idle_s) as scope:",
+        "with anyio.move_on_after(bounds.idle_timeout_s) as scope:",
         "with anyio.move_on_after(1e6) as scope:",
         "test_platforminstances.SlowCallerTest.test_times_of_the_configuration",
     ),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from jasminerelay.catalog import BackendServer, Repeat
+from jasminerelay.catalog import BackendServer, RepeatPolicy
 from jasminerelay.eventlog import EventLog
 from jasminerelay.exchange import Sending
 from jasminerelay.httpclient import Reply
@@ -142,9 +142,9 @@
 
     def test_decoded(self) -> None:
         route = self.catalog.route_of("h.example", "/a/")
-        self.assertEqual(route.repeat, Repeat.RESUMABLE)
+        self.assertEqual(route.repeat_policy, RepeatPolicy.RESUMABLE)
         self.assertEqual(route.timeout_s, 1.5)
-        holder = self.catalog.holders["k2"]
+        holder = self.catalog.key_holders["k2"]
         self.assertEqual((holder.name, holder.rank), ("elm", 1))
         self.assertEqual(self.catalog.services["one"].engine.slots, 8)
 
@@ -160,7 +160,9 @@
             changes = {"targetLatencyMs": objective, "gapTargetMs": pause}
             data = {**CONFIGURATION, "routes": [{**base, **changes}]}
             catalog = documents.catalog(msgspec.json.encode(data))
-            self.assertEqual(catalog.routes[0].patience_s, patience_s)
+            self.assertEqual(
+                catalog.routes[0].caller_idle_timeout_s, patience_s
+            )
 
     def test_levels_keep_the_routes_order(self) -> None:
         # Guards against a rank of an organisation that replaces those of the
@@ -181,11 +183,11 @@
             data = {**CONFIGURATION, "routes": routes, "tenants": tenants}
             catalog = documents.catalog(msgspec.json.encode(data))
             seen = []
-            for holder in catalog.holders.values():
+            for holder in catalog.key_holders.values():
                 for route in catalog.routes:
                     own = holder.rank
                     rank = route.rank if own is None else own
-                    level = catalog.level_of(rank, route)
+                    level = catalog.priority_level_of(rank, route)
                     seen.append(((rank, route.rank), level))
             seen.sort()
             levels = [level for _, level in seen]
@@ -204,7 +206,7 @@
         data = {**CONFIGURATION, "routes": routes}
         catalog = documents.catalog(msgspec.json.encode(data))
         urgent = {
-            (rank, route.name): catalog.urgent(rank, route)
+            (rank, route.name): catalog.is_urgent(rank, route)
             for rank in (0, 1, 2)
             for route in catalog.routes
         }
@@ -220,8 +222,8 @@
         data = {**CONFIGURATION, "routes": [route], "tenants": tenants}
         catalog = documents.catalog(msgspec.json.encode(data))
         only = catalog.routes[0]
-        self.assertTrue(catalog.urgent(1, only))
-        self.assertFalse(catalog.urgent(3, only))
+        self.assertTrue(catalog.is_urgent(1, only))
+        self.assertFalse(catalog.is_urgent(3, only))
 
     def test_unreadable(self) -> None:
         for data in (b"", b"[]", b'{"version": "x"}'):
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -36,7 +36,7 @@
                 counts[item.organisation],
                 item.organisation,
                 item.deadline,
-                item.arrived,
+                item.arrived_at,
                 item.ask_id,
             ),
             default=None,
--- a/tests/test_ownersmodel.py
+++ b/tests/test_ownersmodel.py
@@ -153,7 +153,7 @@
 
     def _cell_of(self, request: _Request) -> int:
         count = len(cells.cells_of(self._servers()))
-        return cells.cell_of_key(request.call.prompt.shared[-1].id, count)
+        return cells.cell_of_key(request.call.prompt.shared_parts[-1].id, count)
 
     def _servers(self) -> list[str]:
         return [f"i-{number:03}" for number in range(SERVERS)]
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -132,7 +132,7 @@
         names = [server.id for server in self.node.registry.servers()]
         count = len(cells.cells_of(names))
         self.assertEqual(item.service, SERVICE)
-        return cells.cell_of_key(item.prompt.shared[-1].id, count)
+        return cells.cell_of_key(item.prompt.shared_parts[-1].id, count)
 
 
 if __name__ == "__main__":
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -11,9 +11,9 @@
     Engine,
     Prompt,
     PromptPart,
-    Repeat,
+    RepeatPolicy,
     Route,
-    Share,
+    ServiceShare,
 )
 from jasminerelay.enginemodel import EngineSpeeds
 from jasminerelay.placing import Guess, Option, Placed, Wait
@@ -33,13 +33,13 @@
         "name": "long",
         "host": "h",
         "prefix": "/",
-        "repeat": Repeat.ONCE,
+        "repeat": RepeatPolicy.ONCE,
         "streaming": True,
         "timeout_s": 15.0,
         "objective_s": 2.0,
         "pause_s": 1.0,
         "rank": 2,
-        "services": (Share("pool", 1.0),),
+        "services": (ServiceShare("pool", 1.0),),
         "max_servers": 1,
         "anonymous": False,
         "model": True,
@@ -85,7 +85,7 @@
 class KnownCachesTest(unittest.TestCase):
     """Placement where the contents of all servers' caches are known."""
 
-    FAST_LINKS = dataclasses.replace(ENGINE, link_bits_s=2e11)
+    FAST_LINKS = dataclasses.replace(ENGINE, link_bits_per_s=2e11)
 
     def place(self, *options: Option):
         cache_known = [
@@ -190,14 +190,14 @@
         # Requests with the same prefix overflow from the server that has it
         # cached. Copying the prefix between two servers takes 4 ms, prefilling
         # it again 60 ms of an engine that others wait for.
-        linked = dataclasses.replace(ENGINE, link_bits_s=200e9)
+        linked = dataclasses.replace(ENGINE, link_bits_per_s=200e9)
         placed = self.place_overflow(linked)
         self.assertEqual(placed.source.id, self.first_choice())
         self.assertEqual(placed.unread, 6000)
 
     def test_prefix_is_prefilled_where_copies_are_slow(self) -> None:
         for bits_s in (0.0, 1e9):
-            linked = dataclasses.replace(ENGINE, link_bits_s=bits_s)
+            linked = dataclasses.replace(ENGINE, link_bits_per_s=bits_s)
             self.assertEqual(self.place_overflow(linked).unread, 11_000)
 
     def test_source_is_another_server(self) -> None:
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -98,7 +98,7 @@
         body = {"version": 1, "routes": [], "backends": [service]}
         catalog = documents.catalog(json.dumps(body).encode())
         scaling = catalog.services["s"].scaling
-        self.assertEqual((scaling.least, scaling.most), (1, 30))
+        self.assertEqual((scaling.min_servers, scaling.max_servers), (1, 30))
         self.assertEqual(scaling.preemptible_price, 0.22)
         self.assertEqual(scaling.zone_prices, {"a": 1.0, "b": 0.8})
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -168,7 +168,7 @@
         for _, order in simulation.orders:
             held[(order.zone, order.preemptible)] = order.count
             total = sum(held.get((order.zone, kind), 0) for kind in (0, 1))
-            self.assertLessEqual(total, simulation.allowed.most)
+            self.assertLessEqual(total, simulation.allowed.max_servers)
 
     def test_upper_bound_of_both_kinds_together(self) -> None:
         simulation = ScalingSimulation(4, scaling())
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -9,14 +9,21 @@
 import unittest
 from collections.abc import Callable
 
-from jasminerelay.catalog import Bounds, Catalog, Holder, Repeat, Route, Share
+from jasminerelay.catalog import (
+    Catalog,
+    KeyHolder,
+    RepeatPolicy,
+    RequestLimits,
+    Route,
+    ServiceShare,
+)
 
 SLOTS = 16
 BURST = 400
 CHAT, CHECK, STUDY = (
     Route(
-        name, "h", f"/{name}/", Repeat.ONCE, True, 15.0, 1.0, 0.3, rank,
-        (Share("engines", 1.0),), 1, False, True,
+        name, "h", f"/{name}/", RepeatPolicy.ONCE, True, 15.0, 1.0, 0.3, rank,
+        (ServiceShare("engines", 1.0),), 1, False, True,
     )
     for rank, name in enumerate(("chat", "check", "study"))
 )  # fmt: skip
@@ -24,9 +31,9 @@
     1,
     (CHAT, CHECK, STUDY),
     {},
-    {str(rank): Holder(f"o{rank}", rank) for rank in (0, 1)},
+    {str(rank): KeyHolder(f"o{rank}", rank) for rank in (0, 1)},
     True,
-    Bounds(),
+    RequestLimits(),
 )
 
 
@@ -84,7 +91,7 @@
         for seed in range(20):
             with self.subTest(seed=seed):
                 found = wrong_preemptions(
-                    lambda *x: not CATALOG.urgent(*x), seed
+                    lambda *x: not CATALOG.is_urgent(*x), seed
                 )
                 self.assertLess(found, 10)
 
@@ -92,7 +99,8 @@
         # Shows that the pattern can detect the fault: with one level for each
         # rank, requests are preempted while less urgent ones run.
         found = [
-            wrong_preemptions(CATALOG.level_of, seed) for seed in range(20)
+            wrong_preemptions(CATALOG.priority_level_of, seed)
+            for seed in range(20)
         ]
         self.assertGreater(max(found), 10)
 
