--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -394,7 +394,7 @@
 def _watchdog_cpu(waits: int) -> float:
     watchdog = Watchdog()
     for _ in range(waits):
-        watchdog.guard(lambda: None).arm(1000.0)
+        watchdog.add_guard(lambda: None).arm(1000.0)
     return _cpu_us(lambda: watchdog.check(time.monotonic()), 500)
 
 
--- a/src/jasminerelay/netstream.py
+++ b/src/jasminerelay/netstream.py
@@ -36,7 +36,7 @@
     def __init__(self, stream: SocketStream, watchdog: Watchdog):
         self._stream = stream
         self._watchdog = watchdog
-        self._guard = watchdog.guard(self._abort)
+        self._guard = watchdog.add_guard(self._abort)
         self.read_limit_s: float | None = None
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
--- a/src/jasminerelay/replies.py
+++ b/src/jasminerelay/replies.py
@@ -87,7 +87,7 @@
             self._context.counters.incr("caller.too_slow")
             group.cancel_scope.cancel()
 
-        guard = self._context.watchdog.guard(on_send_timeout)
+        guard = self._context.watchdog.add_guard(on_send_timeout)
         try:
             with self._context.progress:
                 async with anyio.create_task_group() as group:
--- a/src/jasminerelay/watchdog.py
+++ b/src/jasminerelay/watchdog.py
@@ -51,7 +51,7 @@
     def __len__(self) -> int:
         return len(self._guards)
 
-    def guard(self, expire: Callable[[], None]) -> Guard:
+    def add_guard(self, expire: Callable[[], None]) -> Guard:
         """Returns a guard that calls `expire` when its deadline passes."""
         guard = Guard(expire)
         self._guards.add(guard)
