--- a/src/jasminerelay/crashwatch.py
+++ b/src/jasminerelay/crashwatch.py
@@ -151,20 +151,20 @@
         self.members: Callable[[], Sequence[Member]] = lambda: ()
         self.send: Callable[[Member, CrashWord], None] = lambda to, _: None
 
-    def blocks(self, call: Call) -> bool:
+    def is_blocked(self, call: Call) -> bool:
         """Returns whether a request must not be sent to any server."""
         if not self.ledger.all_blocked:
             return False
         return self.ledger.is_blocked(fingerprint.of(call))
 
-    def repeats(self, call: Call) -> bool:
+    def may_retry(self, call: Call) -> bool:
         """Returns whether this instance may retry a request."""
         if not len(self.ledger):
             return True
         return not self.ledger.suspect(fingerprint.of(call))
 
     @contextlib.contextmanager
-    def unless_blocked(self, call: Call) -> Iterator[None]:
+    def cancel_if_blocked(self, call: Call) -> Iterator[None]:
         """Returns a context that is cancelled once the request is blocked."""
         with anyio.CancelScope() as scope:
             self._waiting[scope] = call
@@ -173,7 +173,9 @@
             finally:
                 del self._waiting[scope]
 
-    async def lost(self, call: Call, server: BackendServer) -> None:
+    async def on_connection_lost(
+        self, call: Call, server: BackendServer
+    ) -> None:
         """Handles a connection that broke off with a request in flight.
 
         Waits up to `MAX_PROBE_WAIT_S` for the first probe of the server, since
@@ -195,7 +197,7 @@
         with anyio.move_on_after(MAX_PROBE_WAIT_S):
             await probe.first_attempt_done.wait()
 
-    def survived(self, call: Call) -> None:
+    def record_completion(self, call: Call) -> None:
         """Records that a server sent a request's complete response."""
         if not len(self.ledger):
             return
@@ -211,7 +213,7 @@
                 self._broadcast.add(name)
             self._handle_changes(blocked)
 
-    def hear(self, message: CrashWord) -> None:
+    def handle_message(self, message: CrashWord) -> None:
         """Merges another instance's reports."""
         for item in message.requests:
             if self._merge_report(item) and self._is_coordinator(
@@ -331,7 +333,7 @@
             self._log.trouble("request_released", fingerprint=name)
         if blocked - previously_blocked:
             for scope, call in self._waiting.items():
-                if self.blocks(call):
+                if self.is_blocked(call):
                     scope.cancel()
         return bool(blocked - previously_blocked)
 
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -71,8 +71,8 @@
         while True:
             reservation = None
             try:
-                if not crashes.blocks(self._call):
-                    with crashes.unless_blocked(self._call):
+                if not crashes.is_blocked(self._call):
+                    with crashes.cancel_if_blocked(self._call):
                         reservation = await self._reserve()
             except NoRoomError as exc:
                 await self._reject_unplaced(exc)
@@ -133,9 +133,9 @@
         self, server: BackendServer, outcome: Outcome
     ) -> None:
         if isinstance(outcome, Delivered | Failed):
-            self._kit.crashes.survived(self._call)
+            self._kit.crashes.record_completion(self._call)
         elif isinstance(outcome, Unknown | Interrupted) and not self.moved:
-            await self._kit.crashes.lost(self._call, server)
+            await self._kit.crashes.on_connection_lost(self._call, server)
 
     @property
     def moved(self) -> bool:
@@ -150,7 +150,7 @@
         """Counts a run; returns whether another server may run the request."""
         allowed = self._progress.may_repeat(self._call.route)
         self._progress.ran += 1
-        if allowed and not self._kit.crashes.repeats(self._call):
+        if allowed and not self._kit.crashes.may_retry(self._call):
             self._kit.counters.incr("crash.not_repeated")
             return False
         return allowed and self._spend_retry()
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -308,7 +308,7 @@
         )
         self._crashes.members = self._peers.membership.live
         self._crashes.send = self._peers.send_message
-        self._peers.on_crashes = self._crashes.hear
+        self._peers.on_crashes = self._crashes.handle_message
         self._rate_limits.placer = self._placement_client.owner_of_server
         self._rate_limits.send = self._peers.send_message
         self._rate_limits.on_grant = self._retry_placement
--- a/tests/crashworld.py
+++ b/tests/crashworld.py
@@ -134,7 +134,7 @@
 
     def _start_attempt(self, request: Call, attempts: int) -> None:
         node = self.rng.choice(self.alive)
-        if node.watch.blocks(request) or not self._running:
+        if node.watch.is_blocked(request) or not self._running:
             self.refused += 1
             return
         name = self.rng.choice(list(self._running))
@@ -146,7 +146,7 @@
         await anyio.sleep(PROCESSING_S)
         if run in self._running.get(name, ()):
             self._running[name].remove(run)
-            run[0].watch.survived(run[1])
+            run[0].watch.record_completion(run[1])
 
     async def _send_culprit_repeatedly(self) -> None:
         while True:
@@ -156,7 +156,7 @@
                 self._send_culprit(self.rng.choice(nodes))
 
     def _send_culprit(self, node: Node) -> None:
-        if node.watch.blocks(self._culprit):
+        if node.watch.is_blocked(self._culprit):
             return
         now = anyio.current_time()
         connected = node.in_touch(now, PROPAGATION_S)
@@ -189,7 +189,7 @@
     async def _lose_connection(
         self, node: Node, request: Call, attempts: int, server: BackendServer
     ) -> None:
-        await node.watch.lost(request, server)
+        await node.watch.on_connection_lost(request, server)
         if attempts < MAX_ATTEMPTS:
             await anyio.sleep(self.rng.choice((0.01, 0.5)))
             self._start_attempt(request, attempts + 1)
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -697,7 +697,7 @@
     Safeguard(
         "requests that crash servers are blocked",
         "forwarding",
-        "if not crashes.blocks(self._call):",
+        "if not crashes.is_blocked(self._call):",
         "if True:",
         "test_crashingrequests.CrashingRequestTest"
         ".test_retries_crash_three_servers_at_most",
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -178,7 +178,7 @@
                     watch.run, empty_store, empty_store, lambda: False
                 )
                 await anyio.sleep(0.001)
-                await watch.lost(call(b"x"), server)
+                await watch.on_connection_lost(call(b"x"), server)
                 self.assertLess(anyio.current_time(), 0.05)
                 await anyio.sleep(1.0)
                 group.cancel_scope.cancel()
