--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -256,7 +256,7 @@
         now = time.monotonic()
         limited = [item for item in servers if item not in unlimited]
         allowance = self._allowance
-        probes = [x for x in limited if allowance.on_trial(x.id, now)]
+        probes = [x for x in limited if allowance.has_trial_grant(x.id, now)]
         held = [x for x in limited if allowance.may_send(x.id, now)]
         placed: Placed | Wait = Wait(
             "rate limits of the service's servers are used up"
@@ -267,7 +267,7 @@
             if isinstance(placed, Placed):
                 return placed
         for item in limited:
-            allowance.want(item.id, call.rank, now)
+            allowance.record_demand(item.id, call.rank, now)
         return placed
 
     def _place_among(
@@ -443,7 +443,7 @@
         if number is None:
             # A request with a number was placed by a cell owner, whose own
             # allowance was charged.
-            self._allowance.spend(name, time.monotonic())
+            self._allowance.use_grant(name, time.monotonic())
         idle = not self.workload.own_running(name)
         self._response_monitor.record_request(name, idle, time.monotonic())
         if call.prompt is not None:
@@ -467,7 +467,7 @@
 
     def reserve_at(self, call: Call, server: BackendServer) -> Reservation:
         """Reserves capacity at a server that has the request's KV cache."""
-        self._allowance.spend(server.id, time.monotonic())
+        self._allowance.use_grant(server.id, time.monotonic())
         memory = call.prompt.tokens + self._output_estimate(call).output
         run = self.workload.start(server.id, 0, memory)
         return Reservation(Placed(server, 0, memory), run)
@@ -515,7 +515,7 @@
     def _unlimited(self, servers: list[BackendServer]) -> list[BackendServer]:
         if not self._allowance.limits:
             return servers
-        return [x for x in servers if not self._allowance.limited(x.id)]
+        return [x for x in servers if not self._allowance.is_limited(x.id)]
 
     def needs_faster_server(
         self, call: Call, server: BackendServer, events: int
--- a/src/jasminerelay/serverlimits.py
+++ b/src/jasminerelay/serverlimits.py
@@ -121,7 +121,7 @@
         """Requests per second by server, of the servers that have a limit."""
         return self._rates
 
-    def limited(self, server: str) -> bool:
+    def is_limited(self, server: str) -> bool:
         """Returns whether a server has a limit."""
         return server in self._rates
 
@@ -184,20 +184,22 @@
 
     def may_send(self, server: str, now: float) -> bool:
         """Returns whether a request may be sent to a server now."""
-        return not self.limited(server) or bool(self._valid_grants(server, now))
+        return not self.is_limited(server) or bool(
+            self._valid_grants(server, now)
+        )
 
-    def on_trial(self, server: str, now: float) -> bool:
+    def has_trial_grant(self, server: str, now: float) -> bool:
         """Returns whether this instance holds a trial grant for a server."""
         return any(grant.trial for grant in self._valid_grants(server, now))
 
-    def spend(self, server: str, now: float) -> None:
+    def use_grant(self, server: str, now: float) -> None:
         """Uses up a grant, if any, as a request is sent to a server."""
         grants = self._valid_grants(server, now)
         if grants:
             first = min(grants, key=lambda grant: grant.expires_at)
             first.count -= 1
 
-    def want(self, server: str, rank: int, now: float) -> None:
+    def record_demand(self, server: str, rank: int, now: float) -> None:
         """Records a request that only a limited server could take."""
         held = self._demands.get(server)
         if held is not None and now - held.at < DEMAND_TTL_S:
@@ -209,7 +211,7 @@
         self._demands = {
             server: demand
             for server, demand in self._demands.items()
-            if now - demand.at < DEMAND_TTL_S and self.limited(server)
+            if now - demand.at < DEMAND_TTL_S and self.is_limited(server)
         }
         return self._demands
 
--- a/tests/limitworld.py
+++ b/tests/limitworld.py
@@ -120,11 +120,11 @@
     def _send_or_wait(self, node: Node, server: str, now: float) -> None:
         allowance = node.watch.allowance
         if not allowance.may_send(server, now):
-            allowance.want(server, self.rng.randrange(3), now)
+            allowance.record_demand(server, self.rng.randrange(3), now)
             return
         if not self.limits_active() and self.rng.random() > 0.2:
             return
-        allowance.spend(server, now)
+        allowance.use_grant(server, now)
         connected = node.in_touch(now, PROPAGATION_S)
         if (
             LIMITED_FROM_S + PROPAGATION_S <= now < self._limited_until
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -38,7 +38,7 @@
         self.allowance.record("s", 2.0, 0.0)
         self.allowance.add_grant("s", 1, trial=False, now=1.0)
         self.assertTrue(self.allowance.may_send("s", 1.1))
-        self.allowance.spend("s", 1.1)
+        self.allowance.use_grant("s", 1.1)
         self.assertFalse(self.allowance.may_send("s", 1.1))
         self.allowance.add_grant("s", 1, trial=False, now=2.0)
         late = 2.0 + serverlimits.GRANT_TTL_S
@@ -49,10 +49,10 @@
         # or ends one that holds.
         self.allowance.record("s", 2.0, 5.0)
         self.assertFalse(self.allowance.record("s", NO_LIMIT, 4.0))
-        self.assertTrue(self.allowance.limited("s"))
+        self.assertTrue(self.allowance.is_limited("s"))
         self.assertTrue(self.allowance.record("s", NO_LIMIT, 6.0))
         self.assertFalse(self.allowance.record("s", 2.0, 5.5))
-        self.assertFalse(self.allowance.limited("s"))
+        self.assertFalse(self.allowance.is_limited("s"))
 
     def test_unchanged_limit_is_not_new(self) -> None:
         # Guards against a broadcast for each response.
@@ -178,7 +178,7 @@
             now = step * limitwatch.TICK_S
             watch.saw_instances(others, 3, now)
             for number in range(8):
-                watch.allowance.want(f"s{number}", 0, now)
+                watch.allowance.record_demand(f"s{number}", 0, now)
             watch.tick(now)
         self.assertEqual(sent, [])
         for number in range(8):
