--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -209,7 +209,7 @@
         # request's answer, so an answer without an id isn't accepted there.
         answered_id = head.request or ("" if reused else self._call.id)
         if answered_id == self._call.id and not head.misdirected:
-            self._kit.limits.heard(server.id, head)
+            self._kit.limits.on_response(server.id, head)
         if answered_id != self._call.id:
             self._kit.channels.record_unexpected_data(server)
             self._kit.counters.incr("backend.crossed")
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -55,7 +55,7 @@
 
     Attributes:
         allowance: Limits, and the grants that this instance holds.
-        placer: Returns the instance that places requests on a server, if any.
+        find_placer: Returns the instance that places requests on a server, if any.
         send: Sends a message to an instance, without confirmation.
         on_grant: Called when requests may be sent to more servers than before.
     """
@@ -93,11 +93,11 @@
             collections.deque()
         )
         self._limits_present = anyio.Event()
-        self.placer: Callable[[str], str | None] = lambda server: None
+        self.find_placer: Callable[[str], str | None] = lambda server: None
         self.send: Callable[[Member, LimitWord], None] = lambda to, _: None
         self.on_grant: Callable[[], None] = lambda: None
 
-    def heard(self, server: str, head: Head) -> None:
+    def on_response(self, server: str, head: Head) -> None:
         """Handles the response head of a server to this instance's request."""
         if head.limit_fault:
             self._counters.incr("limit.unreadable")
@@ -111,7 +111,7 @@
             return
         self._record_limit(server, rate, time.monotonic(), "server")
 
-    def hear(self, message: LimitWord) -> None:
+    def handle_message(self, message: LimitWord) -> None:
         """Handles a message of another instance."""
         now = time.monotonic()
         for item in message.limits:
@@ -129,7 +129,7 @@
         self.allowance.forget(server)
         self._issuers.pop(server, None)
 
-    def saw_instances(
+    def update_instances(
         self, live: Sequence[Member], known: int, now: float
     ) -> None:
         """Updates the list of instances.
@@ -242,7 +242,7 @@
             issuer = self._issuer_for(server, now)
             issuer.refill(rate * share, now)
             if issuer.trial_due(now):
-                name = self.placer(server) or self._rng.choice(self._names)
+                name = self.find_placer(server) or self._rng.choice(self._names)
                 found.setdefault(name, []).append(LimitGrant(server, 1, True))
             for name, count in issuer.grants(now).items():
                 found.setdefault(name, []).append(
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -309,10 +309,10 @@
         self._crashes.members = self._peers.membership.live
         self._crashes.send = self._peers.send_message
         self._peers.on_crashes = self._crashes.handle_message
-        self._rate_limits.placer = self._placement_client.owner_of_server
+        self._rate_limits.find_placer = self._placement_client.owner_of_server
         self._rate_limits.send = self._peers.send_message
         self._rate_limits.on_grant = self._retry_placement
-        self._peers.on_limits = self._rate_limits.hear
+        self._peers.on_limits = self._rate_limits.handle_message
         self._channels = ChannelPool(self._watchdog)
         self._retry_budget = SharedRetryBudget(
             boot.retry_ratio, boot.retry_allowance, boot.retry_window_s
@@ -548,7 +548,7 @@
         )
         if self._duties is not None:
             self._duties.saw_instances(live)
-        self._rate_limits.saw_instances(
+        self._rate_limits.update_instances(
             live, self._peers.known_count, time.monotonic()
         )
         self.dispatcher.measures_step_times = not self._placement_client.active
--- a/tests/limitworld.py
+++ b/tests/limitworld.py
@@ -138,4 +138,4 @@
         await anyio.sleep(RESPONSE_S)
         head = Head(200, (), False, "", False, None, False, limit)
         if node.alive:
-            node.watch.heard(server, head)
+            node.watch.on_response(server, head)
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -147,13 +147,13 @@
         ]
         for step in range(int(self.SECONDS / limitwatch.TICK_S)):
             now = step * limitwatch.TICK_S
-            watch.saw_instances(members, len(names), now)
+            watch.update_instances(members, len(names), now)
             watch.tick(now)
             message = LimitWord(requester, [], [LimitAsk("s", 0, 3)], [])
             with unittest.mock.patch.object(
                 limitwatch.time, "monotonic", lambda now=now: now
             ):
-                watch.hear(message)
+                watch.handle_message(message)
         return sum(grant.count for grant in granted)
 
 
@@ -176,7 +176,7 @@
             watch.allowance.record(f"s{number}", 100.0, 0.0)
         for step in range(40):
             now = step * limitwatch.TICK_S
-            watch.saw_instances(others, 3, now)
+            watch.update_instances(others, 3, now)
             for number in range(8):
                 watch.allowance.record_demand(f"s{number}", 0, now)
             watch.tick(now)
@@ -196,11 +196,11 @@
             "n", servers.__contains__, Quiet(), Quiet(), random.Random(1)
         )
         message = LimitWord("other", [NamedLimit("s", 2.0, 10)], [], [])
-        watch.hear(message)
+        watch.handle_message(message)
         self.assertTrue(watch.allowance)
         servers.clear()
         watch.gone("s")
-        watch.hear(message)
+        watch.handle_message(message)
         self.assertFalse(watch.allowance)
 
 
