--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -150,7 +150,7 @@
         """Returns the true time, in seconds since 1970."""
         return self._clock.at(now_s())
 
-    def began(self, organisation: str, ago_s: float) -> None:
+    def record_start(self, organisation: str, ago_s: float) -> None:
         """Records that a server started a request.
 
         Args:
@@ -161,7 +161,7 @@
             true_s = self.true_s() - ago_s
             self._usage.record_start(organisation, true_s, time.monotonic())
 
-    def saw_instances(self, live: Sequence[Member]) -> None:
+    def update_instances(self, live: Sequence[Member]) -> None:
         """Updates the list of instances that accept client connections."""
         members = {member.instance: member for member in live}
         if members.keys() == self._members.keys():
@@ -190,7 +190,7 @@
             window = self._usage.window_at(self.true_s()) + 1
             self._ledger.mark_complete_from(0 if first else window)
 
-    def hear(self, message: DutyWord) -> None:
+    def handle_message(self, message: DutyWord) -> None:
         """Handles another instance's message."""
         now = now_s()
         if message.skew_ms and now - self._corrected_at > CORRECTION_INTERVAL_S:
@@ -271,7 +271,7 @@
             message = self._make_message(usage, demand)
             if coordinator.instance == self._own.instance:
                 if report_due:
-                    self.hear(message)
+                    self.handle_message(message)
             else:
                 self.send(coordinator, message)
 
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -356,7 +356,7 @@
         )
         if self._duties is not None:
             self._duties.send = self._peers.send_message
-            self._peers.on_duty = self._duties.hear
+            self._peers.on_duty = self._duties.handle_message
 
     def _build_ports(self) -> None:
         boot = self.boot
@@ -378,7 +378,7 @@
             self.telemetry,
             self.log,
             self._rng,
-            self._duties.began if self._duties else lambda *_: None,
+            self._duties.record_start if self._duties else lambda *_: None,
             self._versions,
         )
         front = IngressContext(
@@ -547,7 +547,7 @@
             without_store=self._peers.without_store(),
         )
         if self._duties is not None:
-            self._duties.saw_instances(live)
+            self._duties.update_instances(live)
         self._rate_limits.update_instances(
             live, self._peers.known_count, time.monotonic()
         )
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -377,7 +377,7 @@
             window = int(anyio.current_time() // WINDOW_S)
             counts = self.truth.setdefault(window, collections.Counter())
             counts[organisation] += 1
-            node.watch.began(organisation, 0.0)
+            node.watch.record_start(organisation, 0.0)
 
     async def _inject_faults(self) -> None:
         while anyio.current_time() < FAULTS_DURATION_S:
