--- a/src/jasminerelay/dutycalls.py
+++ b/src/jasminerelay/dutycalls.py
@@ -7,7 +7,7 @@
 from jasminerelay.usage import Report
 
 
-class Said(enum.Enum):
+class CallResult(enum.Enum):
     """The result of a call to the platform."""
 
     # Executed.
@@ -16,17 +16,17 @@
     # token, or no servers of the requested kind are available.
     CONFLICT = "conflict"
     # Not executed: there were too many calls, or the platform was unreachable.
-    BUSY = "busy"
+    UNAVAILABLE = "busy"
     # No response. The call may have been executed, or may still be, seconds
     # later.
-    NOTHING = "nothing"
+    NO_ANSWER = "nothing"
 
 
 class DutyCalls(Protocol):
     """The platform's interface for duties."""
 
-    async def report(self, report: Report, fence: int) -> Said:
+    async def report(self, report: Report, fence: int) -> CallResult:
         """Reports the usage of a window."""
 
-    async def order(self, order: Order, fence: int) -> Said:
+    async def order(self, order: Order, fence: int) -> CallResult:
         """Orders a number of servers."""
--- a/src/jasminerelay/dutydesk.py
+++ b/src/jasminerelay/dutydesk.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from jasminerelay.dutycalls import DutyCalls, Said
+from jasminerelay.dutycalls import CallResult, DutyCalls
 from jasminerelay.eventlog import EventLog
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.limits import Bucket, Limit
@@ -73,17 +73,17 @@
             return False
         said = await self._calls.report(report, self.fence)
         self._record_result(said)
-        if said is Said.CONFLICT:
+        if said is CallResult.CONFLICT:
             self._on_fenced()
-        return said is Said.DONE
+        return said is CallResult.DONE
 
-    async def order(self, order: Order) -> Said:
+    async def order(self, order: Order) -> CallResult:
         """Orders servers; returns the result of the call."""
         if not await self._prepare_call():
-            return Said.BUSY
+            return CallResult.UNAVAILABLE
         said = await self._calls.order(order, self.fence)
         self._record_result(said)
-        if said is Said.CONFLICT and not order.preemptible:
+        if said is CallResult.CONFLICT and not order.preemptible:
             self._on_fenced()
         return said
 
@@ -106,13 +106,13 @@
         lease.record_order(now)
         return True
 
-    def _record_result(self, said: Said) -> None:
+    def _record_result(self, said: CallResult) -> None:
         self._counters.incr(f"duty.{said.value}")
-        if said in (Said.DONE, Said.CONFLICT):
+        if said in (CallResult.DONE, CallResult.CONFLICT):
             self._failed_calls = 0
             return
         self._failed_calls += 1
-        self._renew_first = self._renew_first or said is Said.NOTHING
+        self._renew_first = self._renew_first or said is CallResult.NO_ANSWER
 
     def _on_fenced(self) -> None:
         self._counters.incr("duty.fenced")
--- a/src/jasminerelay/platform/dutyapi.py
+++ b/src/jasminerelay/platform/dutyapi.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from jasminerelay.dutycalls import Said
+from jasminerelay.dutycalls import CallResult
 from jasminerelay.eventlog import EventLog
 from jasminerelay.httpclient import (
     BrokenError,
@@ -63,17 +63,17 @@
         self._timeout_s = timeout_s
         self._log = log
 
-    async def report(self, report: Report, fence: int) -> Said:
+    async def report(self, report: Report, fence: int) -> CallResult:
         """Reports the usage of a window."""
         body = _Usage(report.window, report.counts)
         return await self._post("/usage", body, fence)
 
-    async def order(self, order: Order, fence: int) -> Said:
+    async def order(self, order: Order, fence: int) -> CallResult:
         """Sets the number of servers to run."""
         body = _Scale(order.service, order.zone, order.count, order.preemptible)
         return await self._post("/scale", body, fence)
 
-    async def _post(self, path: str, body: Any, fence: int) -> Said:
+    async def _post(self, path: str, body: Any, fence: int) -> CallResult:
         exchange = Exchange(
             "POST",
             f"{self._base}{path}",
@@ -89,10 +89,10 @@
             reply = await self._client.call(exchange)
         except NotSentError as exc:
             self._log.trouble("duty_call", path=path, why=str(exc))
-            return Said.BUSY
+            return CallResult.UNAVAILABLE
         except BrokenError as exc:
             self._log.trouble("duty_call", path=path, why=str(exc))
-            return Said.NOTHING
+            return CallResult.NO_ANSWER
         if reply.status != OK:
             self._log.trouble(
                 "duty_call",
@@ -103,11 +103,11 @@
         return _result_of(reply.status)
 
 
-def _result_of(status: int) -> Said:
+def _result_of(status: int) -> CallResult:
     if status == OK:
-        return Said.DONE
+        return CallResult.DONE
     if status == CONFLICT:
-        return Said.CONFLICT
+        return CallResult.CONFLICT
     if status in (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE):
-        return Said.BUSY
-    return Said.NOTHING
+        return CallResult.UNAVAILABLE
+    return CallResult.NO_ANSWER
--- a/src/jasminerelay/serverorders.py
+++ b/src/jasminerelay/serverorders.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from jasminerelay.catalog import Service
-from jasminerelay.dutycalls import Said
+from jasminerelay.dutycalls import CallResult
 from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.eventlog import EventLog
 from jasminerelay.metrics import Counters
@@ -74,21 +74,21 @@
         for order in orders:
             said = await self._caller.order(order)
             self._record_result(planner, order, said, work, len(servers))
-            if said in (Said.BUSY, Said.NOTHING):
+            if said in (CallResult.UNAVAILABLE, CallResult.NO_ANSWER):
                 return
 
     def _record_result(
         self,
         planner: ServerPlanner,
         order: Order,
-        said: Said,
+        said: CallResult,
         work: float,
         there: int,
     ) -> None:
         now = self._clock()
-        if said is Said.DONE:
+        if said is CallResult.DONE:
             planner.accepted(order, now)
-        elif said is Said.CONFLICT:
+        elif said is CallResult.CONFLICT:
             planner.refused(order, now)
         self._counters.incr("servers.ordered")
         self._log.trouble(
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -8,7 +8,7 @@
 import anyio
 
 from jasminerelay.duties import Duties
-from jasminerelay.dutycalls import Said
+from jasminerelay.dutycalls import CallResult
 from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.errors import StoreError
 from jasminerelay.fencing import Lease, LeaseRow
@@ -159,7 +159,7 @@
         self._machine = machine
         self.frozen_s = 0.0
 
-    async def report(self, report: Report, fence: int) -> Said:
+    async def report(self, report: Report, fence: int) -> CallResult:
         """Reports the usage of a window."""
         judge = self._simulation.judge
         return await self._call(
@@ -173,7 +173,7 @@
             )
         )
 
-    async def order(self, order: Order, fence: int) -> Said:
+    async def order(self, order: Order, fence: int) -> CallResult:
         """Orders a number of servers."""
         judge = self._simulation.judge
         place = (order.service, order.zone, order.preemptible)
@@ -183,7 +183,7 @@
             )
         )
 
-    async def _call(self, execute) -> Said:
+    async def _call(self, execute) -> CallResult:
         rng = self._simulation.rng
         was_frozen = self.frozen_s > 0
         frozen_s, self.frozen_s = self.frozen_s, 0.0
@@ -191,12 +191,12 @@
         if rng.random() < self._simulation.calls_late:
             self._simulation.group.start_soon(self._execute_later, execute)
             await anyio.sleep(CALL_S)
-            return Said.NOTHING
+            return CallResult.NO_ANSWER
         status = execute(anyio.current_time(), was_frozen)
         if rng.random() < self._simulation.calls_lost:
             await anyio.sleep(CALL_S)
-            return Said.NOTHING
-        return Said.CONFLICT if status == CONFLICT else Said.DONE
+            return CallResult.NO_ANSWER
+        return CallResult.CONFLICT if status == CONFLICT else CallResult.DONE
 
     async def _execute_later(self, execute) -> None:
         await anyio.sleep(self._simulation.rng.uniform(2.0, 12.0))
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from jasminerelay.dutycalls import Said
+from jasminerelay.dutycalls import CallResult
 from jasminerelay.errors import StoreError
 from jasminerelay.fencing import LeaseRow
 from jasminerelay.httpclient import BrokenError, Exchange, NotSentError, Reply
@@ -126,14 +126,14 @@
 class DutyApiTest(unittest.IsolatedAsyncioTestCase):
     """The bodies of the calls, and the meaning of the responses."""
 
-    async def said(self, answer) -> Said:
+    async def said(self, answer) -> CallResult:
         """Reports usage; returns the result for a response."""
         self.client = _Client(answer)
         api = DutyApi(self.client, "127.0.0.1:5", "edge-1", 0.5, Quiet())
         return await api.report(Report(7, {"elm": 2}), 12)
 
     async def test_report(self) -> None:
-        self.assertIs(await self.said(200), Said.DONE)
+        self.assertIs(await self.said(200), CallResult.DONE)
         sent = self.client.sent[0]
         self.assertTrue(sent.url.endswith("/usage"))
         self.assertEqual(sent.headers["fencing-token"], "12")
@@ -164,12 +164,12 @@
         # Guards against a call that counts as not executed although it may
         # still be executed.
         for answer, said in (
-            (409, Said.CONFLICT),
-            (429, Said.BUSY),
-            (503, Said.BUSY),
-            (500, Said.NOTHING),
-            (NotSentError("refused"), Said.BUSY),
-            (BrokenError("silent"), Said.NOTHING),
+            (409, CallResult.CONFLICT),
+            (429, CallResult.UNAVAILABLE),
+            (503, CallResult.UNAVAILABLE),
+            (500, CallResult.NO_ANSWER),
+            (NotSentError("refused"), CallResult.UNAVAILABLE),
+            (BrokenError("silent"), CallResult.NO_ANSWER),
         ):
             with self.subTest(answer=answer):
                 self.assertIs(await self.said(answer), said)
