--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -199,7 +199,7 @@
 def _serve_request(broker: Broker, counter, organisations: int = 10) -> None:
     number = next(counter)
     now = number * 1e-3
-    broker.ask(make_queued_request(number, organisations, now), now)
+    broker.enqueue(make_queued_request(number, organisations, now), now)
     for decision in broker.step(now):
         message = decision.message
         if isinstance(message, Grant):
@@ -221,14 +221,14 @@
             Held(f"h{number}", "pool/0", f"s{number}", 1, False), "e", 0
         )
     for number in range(count):
-        broker.ask(make_queued_request(10**8 + number, 10, 0.0), 0.0)
+        broker.enqueue(make_queued_request(10**8 + number, 10, 0.0), 0.0)
     numbers = iter(range(10**9))
 
     def serve() -> None:
         number = next(numbers)
         broker.release(Release(f"h{number}", "pool/0", 1.0, False, 0.0), 0.0)
         broker.step(0.0)
-        broker.ask(make_queued_request(number, 10, 0.0), 0.0)
+        broker.enqueue(make_queued_request(number, 10, 0.0), 0.0)
         for decision in broker.step(0.0):
             del decision
         broker.hold(
@@ -247,7 +247,7 @@
     def make() -> Broker:
         broker = Broker(make_cell(8, slots=1))
         for number in range(count):
-            broker.ask(make_queued_request(number, 100, 0.0), 0.0)
+            broker.enqueue(make_queued_request(number, 100, 0.0), 0.0)
         return broker
 
     return _retained_bytes(make)
@@ -279,7 +279,7 @@
         name = f"s{number % 8}"
         broker.hold(Held(str(number), "pool/0", name, 1, False), "e", 0.0)
     report = LoadReport(permits // 8, 0, False, 0.03, 0.5)
-    return _cpu_us(lambda: broker.report("s0", report, 5.0), 2000)
+    return _cpu_us(lambda: broker.on_load_report("s0", report, 5.0), 2000)
 
 
 def _prefix_memory(count: int) -> float:
--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -120,7 +120,7 @@
         self._revoked: set[str] = set()
         self.prefixes = PrefixIndex()
         self.stragglers = Stragglers()
-        self.update(cell)
+        self.update_cell(cell)
 
     @property
     def waiting(self) -> int:
@@ -136,7 +136,7 @@
         """Returns the instances that have queued requests."""
         return {waiting.entry for waiting in self._waiting.values()}
 
-    def update(self, cell: Cell) -> None:
+    def update_cell(self, cell: Cell) -> None:
         """Replaces the cell's definition with that of a newer manifest."""
         self._cell = cell
         self._servers = {
@@ -147,7 +147,7 @@
             for server in cell.servers
         }
 
-    def ask(self, waiting: Waiting, now: float) -> None:
+    def enqueue(self, waiting: Waiting, now: float) -> None:
         """Queues a request, or schedules its refusal for the next `step`.
 
         Idempotent: if the request already has a permit, the grant is sent
@@ -232,7 +232,9 @@
             self._revoked.discard(permit.ask_id)
             self._granted[permit.server] -= 1
 
-    def report(self, server: str, report: LoadReport, now: float) -> None:
+    def on_load_report(
+        self, server: str, report: LoadReport, now: float
+    ) -> None:
         """Records a load report of a backend server.
 
         Requests in the report that no permit accounts for were granted by
@@ -255,7 +257,7 @@
             self._unattributed[server] = max(0, reported - settled - recent)
         self.stragglers.observe(server, report.step_s)
 
-    def set_leaving(self, servers: set[str]) -> None:
+    def set_leaving_servers(self, servers: set[str]) -> None:
         """Sets the leaving backend servers, which get no new requests."""
         self._leaving = servers
 
--- a/src/jasminerelay/brokers.py
+++ b/src/jasminerelay/brokers.py
@@ -158,7 +158,7 @@
     def report(self, server: str, report: LoadReport, now: float) -> None:
         """Passes a load report to the brokers of the server's cells."""
         for name in self._cells_of(server):
-            self._hosted[name].broker.report(server, report, now)
+            self._hosted[name].broker.on_load_report(server, report, now)
 
     def cache_events(self, server: str, events: list[CacheEvent]) -> None:
         """Passes prefix cache events to the brokers of the server's cells."""
@@ -189,7 +189,7 @@
         """Sets the backend servers that are leaving, according to gossip."""
         self._leaving = servers
         for hosted in self._hosted.values():
-            hosted.broker.set_leaving(servers)
+            hosted.broker.set_leaving_servers(servers)
         self._step(set(self._hosted), time.monotonic())
 
     def manifest_changed(self) -> None:
@@ -202,7 +202,7 @@
             # A cell removed from the manifest is replaced by one without
             # servers, so that its broker refuses all queued requests.
             gone = Cell(name, (), 1)
-            hosted.broker.update(directory.cells.get(name, gone))
+            hosted.broker.update_cell(directory.cells.get(name, gone))
         self._step(set(self._hosted), time.monotonic())
 
     @singledispatchmethod
@@ -220,7 +220,7 @@
             )
             self._send(entry, outbox)
             return
-        hosted.broker.ask(queued_request(message, entry, now), now)
+        hosted.broker.enqueue(queued_request(message, entry, now), now)
 
     @_handle.register
     def _handle_held(self, message: Held, entry: str, now: float) -> None:
@@ -261,7 +261,7 @@
                 return None
             hosted = _HostedBroker(Broker(directory.cells[cell]), False, now)
             self._hosted[cell] = hosted
-            hosted.broker.set_leaving(self._leaving)
+            hosted.broker.set_leaving_servers(self._leaving)
             self._counters.incr("broker.started")
             if self._background is None or self._load_poller is None:
                 hosted.ready = True
--- a/src/jasminerelay/permits.py
+++ b/src/jasminerelay/permits.py
@@ -254,7 +254,7 @@
     def report(self, server: str, report: LoadReport, now: float) -> None:
         """Passes a load report to the local brokers."""
         for cell, broker in self._local_brokers.items():
-            broker.report(server, report, now)
+            broker.on_load_report(server, report, now)
             self._step_local_broker(cell, now)
 
     def manifest_changed(self) -> None:
@@ -263,7 +263,7 @@
         self._fallback_buckets.clear()
         directory = self._directory()
         for name, broker in self._local_brokers.items():
-            broker.update(directory.cells.get(name, Cell(name, (), 1)))
+            broker.update_cell(directory.cells.get(name, Cell(name, (), 1)))
 
     def local_cells(self) -> list[str]:
         """Returns the cells that have a local fallback broker."""
@@ -273,7 +273,7 @@
         """Sets the backend servers that are leaving, according to gossip."""
         self._leaving = servers
         for broker in self._local_brokers.values():
-            broker.set_leaving(servers)
+            broker.set_leaving_servers(servers)
 
     async def run(self) -> None:
         """Moves permits and requests to new brokers until cancelled."""
@@ -359,9 +359,9 @@
             broker = self._new_local_broker(
                 cells.get(name, Cell(name, (), 1)), now
             )
-            broker.set_leaving(self._leaving)
+            broker.set_leaving_servers(self._leaving)
             self._local_brokers[name] = broker
-        broker.ask(
+        broker.enqueue(
             queued_request(pending.request, self._own.instance, now), now
         )
         self._step_local_broker(name, now)
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -284,8 +284,8 @@
     Safeguard(
         "the broker of a removed cell refuses",
         "brokers",
-        "hosted.broker.update(directory.cells.get(name, gone))",
-        "hosted.broker.update(directory.cells[name]) if name in"
+        "hosted.broker.update_cell(directory.cells.get(name, gone))",
+        "hosted.broker.update_cell(directory.cells[name]) if name in"
         " directory.cells else gone",
         "test_permits.PermitsTest.test_removed_cell",
     ),
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -53,9 +53,9 @@
 
     def test_rank_then_deadline(self) -> None:
         broker = Broker(cell(server("s", slots=1)))
-        broker.ask(waiting("low", rank=3, deadline=0.1), 0.0)
-        broker.ask(waiting("late", rank=1, deadline=9.0), 0.0)
-        broker.ask(waiting("soon", rank=1, deadline=2.0), 0.0)
+        broker.enqueue(waiting("low", rank=3, deadline=0.1), 0.0)
+        broker.enqueue(waiting("late", rank=1, deadline=9.0), 0.0)
+        broker.enqueue(waiting("soon", rank=1, deadline=2.0), 0.0)
         order = granted(broker.step(0.0))
         for ask_id in ("soon", "late"):
             broker.release(release(ask_id), 1.0)
@@ -67,7 +67,7 @@
         for number in range(60):
             for name, weight in (("a", 2.0), ("b", 1.0)):
                 ask = waiting(f"{name}{number}", organisation=name)
-                broker.ask(
+                broker.enqueue(
                     waiting(
                         ask.ask_id,
                         organisation=name,
@@ -89,9 +89,11 @@
         # organisation's single request.
         broker = Broker(cell(server("s", slots=1)))
         for number in range(20):
-            broker.ask(waiting(f"burst{number}", organisation="big"), 0.0)
+            broker.enqueue(waiting(f"burst{number}", organisation="big"), 0.0)
         (first,) = granted(broker.step(0.0))
-        broker.ask(waiting("small", organisation="small", deadline=99.0), 0.0)
+        broker.enqueue(
+            waiting("small", organisation="small", deadline=99.0), 0.0
+        )
         broker.release(release(first), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["small"])
 
@@ -100,9 +102,11 @@
         # one grant in 1 / share.
         broker = Broker(cell(server("s", slots=1), max_waiting=10_000))
         for number in range(500):
-            broker.ask(waiting(f"high{number}", rank=1), 0.0)
+            broker.enqueue(waiting(f"high{number}", rank=1), 0.0)
         for number in range(10):
-            broker.ask(waiting(f"low{number}", rank=5, floor_share=0.05), 0.0)
+            broker.enqueue(
+                waiting(f"low{number}", rank=5, floor_share=0.05), 0.0
+            )
         order = []
         for _ in range(210):
             (ask_id,) = granted(broker.step(0.0))
@@ -118,9 +122,9 @@
     def test_leaves_slots_free(self) -> None:
         broker = Broker(cell(server("s", slots=10)))
         for number in range(12):
-            broker.ask(waiting(f"low{number}", rank=3, leave_free=0.2), 0.0)
+            broker.enqueue(waiting(f"low{number}", rank=3, leave_free=0.2), 0.0)
         self.assertEqual(len(granted(broker.step(0.0))), 8)
-        broker.ask(waiting("high", rank=1), 0.0)
+        broker.enqueue(waiting("high", rank=1), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["high"])
 
 
@@ -129,63 +133,63 @@
 
     def test_sheds_the_lowest_tier(self) -> None:
         broker = Broker(cell(server("s", slots=1), max_waiting=2))
-        broker.ask(waiting("running"), 0.0)
+        broker.enqueue(waiting("running"), 0.0)
         broker.step(0.0)
-        broker.ask(waiting("low", rank=3), 0.0)
-        broker.ask(waiting("middle", rank=2), 0.0)
-        broker.ask(waiting("high", rank=1, protected=True), 0.0)
+        broker.enqueue(waiting("low", rank=3), 0.0)
+        broker.enqueue(waiting("middle", rank=2), 0.0)
+        broker.enqueue(waiting("high", rank=1, protected=True), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"low": REFUSED_FULL})
 
     def test_never_sheds_protected_for_lower(self) -> None:
         broker = Broker(cell(server("s", slots=1), max_waiting=2))
-        broker.ask(waiting("running"), 0.0)
+        broker.enqueue(waiting("running"), 0.0)
         broker.step(0.0)
         for name in ("first", "second"):
-            broker.ask(waiting(name, rank=1, protected=True), 0.0)
-        broker.ask(waiting("low", rank=2), 0.0)
+            broker.enqueue(waiting(name, rank=1, protected=True), 0.0)
+        broker.enqueue(waiting("low", rank=2), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"low": REFUSED_FULL})
 
     def test_guaranteed_queue_length_of_lowest_tier(self) -> None:
         broker = Broker(cell(server("s", slots=1), max_waiting=2))
-        broker.ask(waiting("running"), 0.0)
+        broker.enqueue(waiting("running"), 0.0)
         broker.step(0.0)
         for name in ("first", "second"):
-            broker.ask(waiting(name, rank=1), 0.0)
-        broker.ask(waiting("low", rank=5, floor_share=0.05), 0.0)
-        broker.ask(waiting("more", rank=5, floor_share=0.05), 0.0)
+            broker.enqueue(waiting(name, rank=1), 0.0)
+        broker.enqueue(waiting("low", rank=5, floor_share=0.05), 0.0)
+        broker.enqueue(waiting("more", rank=5, floor_share=0.05), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"more": REFUSED_FULL})
 
     def test_older_request_replaces_younger(self) -> None:
         # A refused request returns with its ticket, which carries its age.
         broker = Broker(cell(server("s", slots=1), max_waiting=1))
-        broker.ask(waiting("running"), 9.0)
+        broker.enqueue(waiting("running"), 9.0)
         broker.step(9.0)
-        broker.ask(waiting("young", arrived=9.0, deadline=10.0), 9.0)
-        broker.ask(waiting("old", arrived=1.0, deadline=2.0), 9.0)
+        broker.enqueue(waiting("young", arrived=9.0, deadline=10.0), 9.0)
+        broker.enqueue(waiting("old", arrived=1.0, deadline=2.0), 9.0)
         self.assertEqual(refused(broker.step(9.0)), {"young": REFUSED_FULL})
 
     def test_started_is_never_shed(self) -> None:
         broker = Broker(cell(server("s", slots=1), max_waiting=1))
-        broker.ask(waiting("running"), 0.0)
+        broker.enqueue(waiting("running"), 0.0)
         broker.step(0.0)
-        broker.ask(waiting("first", rank=1), 0.0)
-        broker.ask(waiting("started", rank=5, started=True), 0.0)
-        broker.ask(waiting("more", rank=1), 0.0)
+        broker.enqueue(waiting("first", rank=1), 0.0)
+        broker.enqueue(waiting("started", rank=5, started=True), 0.0)
+        broker.enqueue(waiting("more", rank=1), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"more": REFUSED_FULL})
 
     def test_expired_is_refused_at_once(self) -> None:
         broker = Broker(cell(server("s", slots=1)))
-        broker.ask(waiting("running"), 0.0)
+        broker.enqueue(waiting("running"), 0.0)
         broker.step(0.0)
-        broker.ask(waiting("late", expires=2.0), 0.0)
+        broker.enqueue(waiting("late", expires=2.0), 0.0)
         self.assertEqual(refused(broker.step(1.9)), {})
         self.assertEqual(broker.next_expiry(), 2.0)
         self.assertEqual(refused(broker.step(2.0)), {"late": REFUSED_LATE})
 
     def test_refused_without_usable_server(self) -> None:
         broker = Broker(cell(server("s")))
-        broker.set_leaving({"s"})
-        broker.ask(waiting("a"), 0.0)
+        broker.set_leaving_servers({"s"})
+        broker.enqueue(waiting("a"), 0.0)
         self.assertEqual(refused(broker.step(0.0)), {"a": "no_server"})
 
 
@@ -194,12 +198,12 @@
 
     def setUp(self) -> None:
         self.broker = Broker(cell(server("s", slots=2)))
-        self.broker.ask(waiting("fixed", rank=4), 0.0)
-        self.broker.ask(waiting("free", rank=5, preemptible=True), 0.0)
+        self.broker.enqueue(waiting("fixed", rank=4), 0.0)
+        self.broker.enqueue(waiting("free", rank=5, preemptible=True), 0.0)
         self.broker.step(0.0)
 
     def test_revokes_preemptible_permit(self) -> None:
-        self.broker.ask(waiting("high", rank=1), 1.0)
+        self.broker.enqueue(waiting("high", rank=1), 1.0)
         self.assertEqual(revoked(self.broker.step(1.0)), ["free"])
         # The permit is revoked once, not again at each step.
         self.assertEqual(revoked(self.broker.step(1.1)), [])
@@ -207,8 +211,8 @@
         self.assertEqual(granted(self.broker.step(1.2)), ["high"])
 
     def test_no_revocation_for_same_or_lower_rank(self) -> None:
-        self.broker.ask(waiting("same", rank=5), 1.0)
-        self.broker.ask(waiting("below", rank=6), 1.0)
+        self.broker.enqueue(waiting("same", rank=5), 1.0)
+        self.broker.enqueue(waiting("below", rank=6), 1.0)
         self.assertEqual(revoked(self.broker.step(1.0)), [])
 
 
@@ -219,32 +223,32 @@
         broker = Broker(cell(server("s", slots=2)))
         broker.hold(Held("theirs", "pool/0", "s", 1, False), "other", 0.0)
         for name in ("a", "b"):
-            broker.ask(waiting(name), 0.0)
+            broker.enqueue(waiting(name), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["a"])
         broker.remove_instance("other", permits=True)
         self.assertEqual(granted(broker.step(0.0)), ["b"])
 
     def test_unattributed_load_takes_slots(self) -> None:
         broker = Broker(cell(server("s", slots=3)))
-        broker.report("s", LoadReport(2, 0, False, 0.01, 0.0), 0.0)
+        broker.on_load_report("s", LoadReport(2, 0, False, 0.01, 0.0), 0.0)
         for name in ("a", "b"):
-            broker.ask(waiting(name), 0.0)
+            broker.enqueue(waiting(name), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["a"])
 
     def test_own_permits_account_for_load(self) -> None:
         broker = Broker(cell(server("s", slots=3)))
         for name in ("a", "b"):
-            broker.ask(waiting(name), 0.0)
+            broker.enqueue(waiting(name), 0.0)
         broker.step(0.0)
-        broker.report("s", LoadReport(2, 0, False, 0.01, 0.0), 5.0)
-        broker.ask(waiting("c"), 5.0)
+        broker.on_load_report("s", LoadReport(2, 0, False, 0.01, 0.0), 5.0)
+        broker.enqueue(waiting("c"), 5.0)
         self.assertEqual(granted(broker.step(5.0)), ["c"])
 
     def test_repeated_request_is_granted_once(self) -> None:
         broker = Broker(cell(server("s", slots=3)))
-        broker.ask(waiting("a"), 0.0)
+        broker.enqueue(waiting("a"), 0.0)
         first = broker.step(0.0)
-        broker.ask(waiting("a"), 0.0)
+        broker.enqueue(waiting("a"), 0.0)
         self.assertEqual(granted(first), granted(broker.step(0.0)))
         self.assertEqual(broker.held, 1)
 
@@ -252,7 +256,7 @@
         broker = Broker(cell(server("bad"), server("good", slots=1)))
         broker.stragglers.failed("bad", 0.0)
         for name in ("a", "b", "c"):
-            broker.ask(waiting(name), 0.0)
+            broker.enqueue(waiting(name), 0.0)
         self.assertEqual(len(granted(broker.step(0.0))), 1)
         # After its backoff the server gets one request as a probe.
         self.assertEqual(len(granted(broker.step(1.1))), 1)
@@ -263,8 +267,8 @@
         # of the slots. When other instances' requests counted against it, a
         # share of one slot granted nothing.
         broker = Broker(cell(server("s", slots=4)), share=0.25)
-        broker.report("s", LoadReport(3, 0, False, 0.01, 0.0), 0.0)
-        broker.ask(waiting("a"), 0.0)
+        broker.on_load_report("s", LoadReport(3, 0, False, 0.01, 0.0), 0.0)
+        broker.enqueue(waiting("a"), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["a"])
 
 
@@ -311,7 +315,7 @@
             preemptible=rank == 5,
         )
         self.queued[item.ask_id] = item
-        self.broker.ask(item, self.now)
+        self.broker.enqueue(item, self.now)
         self.step()
 
     @rule(data=strategies.data(), failed=strategies.booleans())
