--- a/src/jasminerelay/brokers.py
+++ b/src/jasminerelay/brokerhost.py
@@ -92,7 +92,7 @@
             for name, hosted in self._hosted.items()
         }
 
-    def watch_with(self, watch: LoadWatch) -> None:
+    def set_load_poller(self, watch: LoadWatch) -> None:
         """Sets the poller that fetches load reports when a broker starts."""
         self._load_poller = watch
 
@@ -126,7 +126,7 @@
         for hosted in self._hosted.values():
             hosted.broker.remove_instance(entry, permits=False)
 
-    def take(self, frame: EntryFrame) -> None:
+    def on_frame(self, frame: EntryFrame) -> None:
         """Handles a frame of an instance and sends the resulting decisions."""
         now = time.monotonic()
         for message in (
@@ -155,7 +155,9 @@
             for server in directory.cells[name].servers
         ]
 
-    def report(self, server: str, report: LoadReport, now: float) -> None:
+    def on_load_report(
+        self, server: str, report: LoadReport, now: float
+    ) -> None:
         """Passes a load report to the brokers of the server's cells."""
         for name in self._cells_of(server):
             self._hosted[name].broker.on_load_report(server, report, now)
@@ -185,14 +187,14 @@
             )
         ]
 
-    def set_leaving(self, servers: set[str]) -> None:
+    def set_leaving_servers(self, servers: set[str]) -> None:
         """Sets the backend servers that are leaving, according to gossip."""
         self._leaving = servers
         for hosted in self._hosted.values():
             hosted.broker.set_leaving_servers(servers)
         self._step(set(self._hosted), time.monotonic())
 
-    def manifest_changed(self) -> None:
+    def on_manifest_changed(self) -> None:
         """Applies the cells and limits of a newer manifest."""
         directory = self._directory()
         if directory is None:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -32,7 +32,7 @@
     stopsignals,
 )
 from jasminerelay.answerkit import Kit
-from jasminerelay.brokers import BrokerHost
+from jasminerelay.brokerhost import BrokerHost
 from jasminerelay.claimdesk import ClaimDesk
 from jasminerelay.completions import Completions
 from jasminerelay.errors import StoreError
@@ -268,7 +268,7 @@
             self.counters,
             cfg.timing.load_interval_s,
         )
-        self._brokers.watch_with(self._load_poller)
+        self._brokers.set_load_poller(self._load_poller)
         self._broker_links = peers.BrokerLinks(
             cfg.instance, self._brokers, self._peer_credentials, self.counters
         )
@@ -394,7 +394,7 @@
             self._on_server_leaving(server)
         elif self._leaving_hold_expired(server):
             self._publish_notice(server, leaving=False)
-        self._brokers.report(server, report, now)
+        self._brokers.on_load_report(server, report, now)
         self.permit_client.report(server, report, now)
 
     def _on_server_leaving(self, server: str) -> None:
@@ -432,7 +432,7 @@
 
     def _apply_leaving_servers(self) -> None:
         leaving = self.membership.leaving_servers()
-        self._brokers.set_leaving(leaving)
+        self._brokers.set_leaving_servers(leaving)
         self.permit_client.set_leaving(leaving)
 
     def _on_verified(self, pointer: ManifestPointer) -> None:
@@ -440,7 +440,7 @@
         self._gossip.send(self.membership.push())
 
     def _on_adopted(self) -> None:
-        self._brokers.manifest_changed()
+        self._brokers.on_manifest_changed()
         self.permit_client.manifest_changed()
 
     async def _fetch_peer(
--- a/src/jasminerelay/peers.py
+++ b/src/jasminerelay/peers.py
@@ -15,7 +15,7 @@
 import itsdangerous
 import msgspec
 
-from jasminerelay.brokers import BrokerHost
+from jasminerelay.brokerhost import BrokerHost
 from jasminerelay.membership import Membership, Send
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.messages import (
@@ -161,7 +161,7 @@
         state again when the link is re-established.
         """
         if peer in (self._own_instance, ""):
-            self._broker_host.take(frame)
+            self._broker_host.on_frame(frame)
             return
         link = self._links_by_peer.get(peer)
         if link is None:
@@ -303,7 +303,7 @@
                     if not entry:
                         entry = frame.instance
                         self._broker_host.connect(entry, send)
-                    self._broker_host.take(frame)
+                    self._broker_host.on_frame(frame)
             finally:
                 if entry:
                     self._broker_host.disconnect(entry, send)
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -268,7 +268,7 @@
     ),
     Safeguard(
         "a new session starts without the permits of the former one",
-        "brokers",
+        "brokerhost",
         "            hosted.broker.remove_instance(entry, permits=True)\n"
         "        self._sessions[entry] = send",
         "            pass\n        self._sessions[entry] = send",
@@ -283,7 +283,7 @@
     ),
     Safeguard(
         "the broker of a removed cell refuses",
-        "brokers",
+        "brokerhost",
         "hosted.broker.update_cell(directory.cells.get(name, gone))",
         "hosted.broker.update_cell(directory.cells[name]) if name in"
         " directory.cells else gone",
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -8,7 +8,7 @@
 import anyio
 
 from jasminerelay import manifest, rendezvous
-from jasminerelay.brokers import BrokerHost
+from jasminerelay.brokerhost import BrokerHost
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.permits import PermitDesk
 from jasminerelay.schema.messages import (
@@ -93,7 +93,7 @@
 
     def send(self, source: str, peer: str, frame: EntryFrame) -> None:
         del source
-        self.hosts[peer].take(frame)
+        self.hosts[peer].on_frame(frame)
 
     @property
     def broker_name(self) -> str:
@@ -222,7 +222,7 @@
             group.cancel_scope.cancel()
         self.desk.release(release("1"))
         self.instances.silent.clear()
-        self.instances.hosts[broker_name].take(
+        self.instances.hosts[broker_name].on_frame(
             EntryFrame(self.entry, "1", [permit_request("1")], [], [], [])
         )
         self.assertEqual(self.instances.held(broker_name), 0)
@@ -242,7 +242,7 @@
             await anyio.sleep(0.05)
             self.instances.directory = manifest.parse(OTHER, "m").unwrap()
             for host in self.instances.hosts.values():
-                host.manifest_changed()
+                host.on_manifest_changed()
             with anyio.fail_after(5):
                 while not results:
                     await anyio.sleep(0.01)
