--- a/bench/inputs.py
+++ b/bench/inputs.py
@@ -2,8 +2,8 @@
 
 import hashlib
 
+from jasminerelay.fairqueue import QueuedRequest
 from jasminerelay.manifest import Cell
-from jasminerelay.ordering import Waiting
 from jasminerelay.schema.manifest import Server
 
 MODELS = 19
@@ -19,7 +19,9 @@
     return Cell("pool/0", server_list, 2000)
 
 
-def make_queued_request(number: int, organisations: int, now: float) -> Waiting:
+def make_queued_request(
+    number: int, organisations: int, now: float
+) -> QueuedRequest:
     """Returns a queued request.
 
     Args:
@@ -28,7 +30,7 @@
         now: Current time in seconds.
     """
     rank = number % CLASSES + 1
-    return Waiting(
+    return QueuedRequest(
         f"{number:016d}",
         f"relay-{number % 400}",
         rank,
--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -12,8 +12,8 @@
 
 from jasminerelay import routing
 from jasminerelay.errors import InvariantError
+from jasminerelay.fairqueue import QueuedRequest, Tier
 from jasminerelay.manifest import Cell
-from jasminerelay.ordering import Tier, Waiting
 from jasminerelay.prefix import PrefixIndex
 from jasminerelay.schema.messages import (
     Grant,
@@ -108,7 +108,7 @@
         """
         self._slot_share = share
         self._tiers: dict[int, Tier] = collections.defaultdict(Tier)
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._permits: dict[str, Permit] = {}
         self._granted: collections.Counter[str] = collections.Counter()
         self._credit: dict[int, float] = {}
@@ -147,7 +147,7 @@
             for server in cell.servers
         }
 
-    def enqueue(self, waiting: Waiting, now: float) -> None:
+    def enqueue(self, waiting: QueuedRequest, now: float) -> None:
         """Queues a request, or schedules its refusal for the next `step`.
 
         Idempotent: if the request already has a permit, the grant is sent
@@ -263,7 +263,9 @@
 
     def step(self, now: float) -> list[Decision]:
         """Returns all decisions due now: refusals, grants and revocations."""
-        for waiting in [w for w in self._waiting.values() if w.expires <= now]:
+        for waiting in [
+            w for w in self._waiting.values() if w.expires_at <= now
+        ]:
             self._dequeue(waiting)
             self._refuse(waiting, REFUSED_LATE)
         decisions, self._pending_decisions = self._pending_decisions, []
@@ -279,7 +281,7 @@
     def next_expiry(self) -> float:
         """Returns the earliest expiry among queued requests, or infinity."""
         return min(
-            (waiting.expires for waiting in self._waiting.values()),
+            (waiting.expires_at for waiting in self._waiting.values()),
             default=math.inf,
         )
 
@@ -300,7 +302,7 @@
         order = ranks if floor is None else [floor, *ranks]
         unplaced: set[int] = set()
         for rank in order:
-            waiting = self._tiers[rank].next()
+            waiting = self._tiers[rank].peek()
             if waiting is None:
                 continue
             if rank != floor and not self._keeps_slots_free(waiting):
@@ -313,7 +315,9 @@
             return self._grant(waiting, chosen.server.name, now)
         return None
 
-    def _grant(self, waiting: Waiting, server: str, now: float) -> Decision:
+    def _grant(
+        self, waiting: QueuedRequest, server: str, now: float
+    ) -> Decision:
         self._dequeue(waiting)
         self._tiers[waiting.rank].charge(
             waiting.organisation, waiting.work, waiting.weight
@@ -344,7 +348,7 @@
         """
         waiting: list[int] = []
         for rank in sorted(self._tiers):
-            first = self._tiers[rank].next()
+            first = self._tiers[rank].peek()
             if first is not None and self._keeps_slots_free(first):
                 waiting += [rank] * len(self._tiers[rank])
         missing = len(waiting) - len(self._revoked)
@@ -388,7 +392,7 @@
         """
         self._last_grant_was_floor = used
         for rank in ranks:
-            first = self._tiers[rank].next()
+            first = self._tiers[rank].peek()
             if first is None or rank in unplaced:
                 # No eligible server has a free slot. The scheduling order is
                 # not the cause, so the tier earns no credit and does not
@@ -406,7 +410,7 @@
                 )
             self._credit[rank] = credit
 
-    def _keeps_slots_free(self, waiting: Waiting) -> bool:
+    def _keeps_slots_free(self, waiting: QueuedRequest) -> bool:
         """Returns whether a grant keeps the required share of slots free.
 
         When long answers occupy every slot, none becomes free for a while,
@@ -436,7 +440,7 @@
         )
 
     def _candidates(
-        self, waiting: Waiting, now: float
+        self, waiting: QueuedRequest, now: float
     ) -> list[routing.Candidate]:
         candidates = []
         for server in self._usable():
@@ -469,7 +473,7 @@
             if server.name not in self._leaving
         ]
 
-    def _guaranteed_queue_length(self, waiting: Waiting) -> int:
+    def _guaranteed_queue_length(self, waiting: QueuedRequest) -> int:
         """Returns how many requests of the tier may always be queued.
 
         Without this minimum, higher tiers that fill the queue would keep the
@@ -480,7 +484,7 @@
             return 0
         return math.ceil(waiting.floor_share * self._cell.max_waiting)
 
-    def _admit(self, incoming: Waiting) -> bool:
+    def _admit(self, incoming: QueuedRequest) -> bool:
         """Returns whether a full queue admits the request, shedding if needed.
 
         Sheds from the lowest tier that exceeds its guaranteed queue length, and
@@ -499,7 +503,7 @@
         victim = self._shed_candidate()
         if victim is None or victim.rank < incoming.rank:
             return False
-        younger = victim.arrived > incoming.arrived
+        younger = victim.arrived_at > incoming.arrived_at
         if victim.rank == incoming.rank and not younger:
             return False
         if victim.started or (victim.protected and not incoming.protected):
@@ -508,7 +512,7 @@
         self._refuse(victim, REFUSED_FULL)
         return True
 
-    def _shed_candidate(self) -> Waiting | None:
+    def _shed_candidate(self) -> QueuedRequest | None:
         for rank in sorted(self._tiers, reverse=True):
             last = self._tiers[rank].shed_candidate()
             if last is None:
@@ -517,7 +521,7 @@
                 return last
         return None
 
-    def _refuse(self, waiting: Waiting, reason: str) -> None:
+    def _refuse(self, waiting: QueuedRequest, reason: str) -> None:
         refusal = Refusal(waiting.ask_id, reason, self.retry_s(waiting.rank))
         self._pending_decisions.append(Decision(waiting.entry, refusal))
 
@@ -528,7 +532,7 @@
         refused, self._pending_decisions = self._pending_decisions, []
         return refused
 
-    def _dequeue(self, waiting: Waiting) -> None:
+    def _dequeue(self, waiting: QueuedRequest) -> None:
         del self._waiting[waiting.ask_id]
         self._tiers[waiting.rank].remove(waiting)
 
--- a/src/jasminerelay/brokerhost.py
+++ b/src/jasminerelay/brokerhost.py
@@ -10,11 +10,11 @@
 
 from jasminerelay.broker import REFUSED_UNKNOWN_CELL, Broker
 from jasminerelay.errors import InvariantError
+from jasminerelay.fairqueue import queued_request
 from jasminerelay.limits import Bucket, Limit
 from jasminerelay.loadwatch import LoadWatch
 from jasminerelay.manifest import Cell, Directory
 from jasminerelay.metrics import Counters, Invariants
-from jasminerelay.ordering import queued_request
 from jasminerelay.schema.manifest import Server
 from jasminerelay.schema.messages import (
     Ask,
--- a/src/jasminerelay/ordering.py
+++ b/src/jasminerelay/fairqueue.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Waiting:
+class QueuedRequest:
     """A request queued for a permit.
 
     Attributes:
@@ -25,10 +25,10 @@
         organisation: Organisation that sent the request.
         weight: Fair-share weight of the organisation within its tier.
         work: Estimated tokens of the answer.
-        arrived: Arrival time in seconds, moved back by the time that the
+        arrived_at: Arrival time in seconds, moved back by the time that the
             request waited in earlier attempts.
         deadline: Time by which the class's latency target is due.
-        expires: Time at which the request is refused if still queued.
+        expires_at: Time at which the request is refused if still queued.
         protected: Whether it is never shed for an unprotected request.
         started: Whether part of its answer is delivered; if so, the request
             is never shed.
@@ -48,9 +48,9 @@
     organisation: str
     weight: float
     work: float
-    arrived: float
+    arrived_at: float
     deadline: float
-    expires: float
+    expires_at: float
     protected: bool
     floor_share: float
     leave_free: float = 0.0
@@ -61,13 +61,13 @@
     resume_on: str = ""
 
 
-def queued_request(ask: Ask, entry: str, now: float) -> Waiting:
+def queued_request(ask: Ask, entry: str, now: float) -> QueuedRequest:
     """Converts a permit request to a queue entry with absolute times.
 
     The message carries durations, since the clocks of instances differ.
     """
     arrived = now - ask.wait_s
-    return Waiting(
+    return QueuedRequest(
         ask.ask_id,
         entry,
         ask.rank,
@@ -100,11 +100,11 @@
     def __len__(self) -> int:
         return self._size
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         for queue in self._queues.values():
             yield from queue
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedRequest) -> None:
         """Adds a request."""
         name = waiting.organisation
         queue = self._queues.get(name)
@@ -122,7 +122,7 @@
         queue.add(waiting)
         self._size += 1
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Removes a request."""
         queue = self._queues[waiting.organisation]
         queue.remove(waiting)
@@ -130,7 +130,7 @@
         if not queue:
             del self._queues[waiting.organisation]
 
-    def next(self) -> Waiting | None:
+    def peek(self) -> QueuedRequest | None:
         """Returns the request to grant next, without removing it."""
         if not self._queues:
             return None
@@ -144,7 +144,7 @@
         )
         return self._queues[name][0]
 
-    def shed_candidate(self) -> Waiting | None:
+    def shed_candidate(self) -> QueuedRequest | None:
         """Returns the request to shed first.
 
         It is the one with the latest deadline of the organisation with the
--- a/src/jasminerelay/naive.py
+++ b/src/jasminerelay/naive.py
@@ -8,8 +8,8 @@
 import collections
 
 from jasminerelay.broker import REFUSED_FULL, REFUSED_LATE, Decision
+from jasminerelay.fairqueue import QueuedRequest
 from jasminerelay.manifest import Cell
-from jasminerelay.ordering import Waiting
 from jasminerelay.schema.messages import Grant, LoadReport, Refusal, Release
 
 RETRY_S = 1.0
@@ -19,7 +19,7 @@
     """Drop-in replacement for `Broker`: a FIFO queue in one instance."""
 
     def __init__(self, cell: Cell):
-        self._queue: collections.deque[Waiting] = collections.deque()
+        self._queue: collections.deque[QueuedRequest] = collections.deque()
         self._permits: dict[str, str] = {}
         self._reported: dict[str, int] = {}
         self._granted_since_report: collections.Counter[str] = (
@@ -38,7 +38,7 @@
         """Replaces the cell's definition."""
         self._cell = cell
 
-    def ask(self, waiting: Waiting, now: float) -> None:
+    def ask(self, waiting: QueuedRequest, now: float) -> None:
         """Queues a request, or schedules its refusal if the queue is full."""
         del now
         if len(self._queue) >= self._cell.max_waiting:
@@ -70,7 +70,7 @@
         decisions, self._pending_refusals = self._pending_refusals, []
         while self._queue:
             head = self._queue[0]
-            if head.expires <= now:
+            if head.expires_at <= now:
                 refusal = Refusal(head.ask_id, REFUSED_LATE, RETRY_S)
                 decisions.append(Decision(head.entry, refusal))
                 self._queue.popleft()
@@ -85,7 +85,7 @@
             decisions.append(Decision(head.entry, grant))
         return decisions
 
-    def _least_loaded(self, waiting: Waiting) -> str | None:
+    def _least_loaded(self, waiting: QueuedRequest) -> str | None:
         loads = {
             server.name: self._reported.get(server.name, 0)
             + self._granted_since_report[server.name]
--- a/src/jasminerelay/permits.py
+++ b/src/jasminerelay/permits.py
@@ -10,11 +10,11 @@
 from jasminerelay import rendezvous
 from jasminerelay.broker import REFUSED_UNKNOWN_CELL, Broker
 from jasminerelay.errors import InvariantError
+from jasminerelay.fairqueue import queued_request
 from jasminerelay.limits import Borrower, Bucket, Limit
 from jasminerelay.manifest import Cell, Directory
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.naive import NaiveBroker
-from jasminerelay.ordering import queued_request
 from jasminerelay.schema.manifest import Organisation, Pool, Service
 from jasminerelay.schema.messages import (
     Ask,
--- a/src/jasminerelay/routing.py
+++ b/src/jasminerelay/routing.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from jasminerelay.ordering import Waiting
+from jasminerelay.fairqueue import QueuedRequest
 from jasminerelay.schema.manifest import Server
 
 PREFIX_WEIGHT = 0.5
@@ -40,7 +40,9 @@
         return self.server.slots - self.granted - self.unexplained
 
 
-def choose(waiting: Waiting, candidates: list[Candidate]) -> Candidate | None:
+def choose(
+    waiting: QueuedRequest, candidates: list[Candidate]
+) -> Candidate | None:
     """Returns the best candidate with a free slot, or None.
 
     The server that the request should resume on comes first; otherwise the
@@ -61,7 +63,7 @@
     )
 
 
-def _score(waiting: Waiting, item: Candidate) -> float:
+def _score(waiting: QueuedRequest, item: Candidate) -> float:
     busy = 1 - item.free / item.server.slots
     hit_ratio = (
         item.matched / len(waiting.prefixes) if waiting.prefixes else 0.0
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
+from jasminerelay.fairqueue import QueuedRequest
 from jasminerelay.manifest import Cell
-from jasminerelay.ordering import Waiting
 from jasminerelay.schema.manifest import Server
 from jasminerelay.schema.messages import Release
 
@@ -20,7 +20,7 @@
     return Cell(name, tuple(servers), max_waiting)
 
 
-def waiting(ask_id: str, **fields: Any) -> Waiting:
+def waiting(ask_id: str, **fields: Any) -> QueuedRequest:
     """Returns a queued request; fields not given have default values."""
     values: dict[str, Any] = {
         "entry": "entry",
@@ -34,7 +34,7 @@
         "protected": False,
         "floor_share": 0.0,
     }
-    return Waiting(ask_id, **{**values, **fields})
+    return QueuedRequest(ask_id, **{**values, **fields})
 
 
 def release(ask_id: str, **fields: Any) -> Release:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -73,7 +73,7 @@
         "manifest",
         "membership",
         "naive",
-        "ordering",
+        "fairqueue",
         "outcome",
         "tokentimes",
         "placing",
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, settings, strategies
 
-from jasminerelay.ordering import Tier
+from jasminerelay.fairqueue import Tier
 from tests.fakes import waiting
 
 
@@ -73,7 +73,7 @@
             reference.add(item)
             if not take:
                 continue
-            chosen = tier.next()
+            chosen = tier.peek()
             self.assertEqual(chosen, reference.next())
             tier.remove(chosen)
             reference.items.remove(chosen)
@@ -87,7 +87,7 @@
         tier.charge("busy", 1000.0, 1.0)
         tier.add(waiting("1", organisation="idle"))
         tier.charge("idle", 1.0, 1.0)
-        self.assertEqual(tier.next().organisation, "busy")
+        self.assertEqual(tier.peek().organisation, "busy")
 
     def test_state_is_bounded(self) -> None:
         # Organisations that sent one request each must not stay in memory.
