--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -12,7 +12,7 @@
     "Borrower": "limits",
     "Broker": "broker",
     "Bucket": "limits",
-    "Candidate": "routing",
+    "Candidate": "serverselection",
     "Cell": "manifest",
     "Decision": "broker",
     "Directory": "manifest",
@@ -40,7 +40,7 @@
     "QueuedRequest": "fairqueue",
     "Workload": "workload",
     "block_hashes": "prefix",
-    "choose": "routing",
+    "select_server": "serverselection",
 }
 """Module of each public name. Modules are imported on first use: a daemon needs
 only a few of them, and lazy imports halve its start time."""
--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -10,7 +10,7 @@
 import dataclasses
 import math
 
-from jasminerelay import routing
+from jasminerelay import serverselection
 from jasminerelay.errors import InvariantError
 from jasminerelay.fairqueue import QueuedRequest, Tier
 from jasminerelay.manifest import Cell
@@ -307,7 +307,9 @@
                 continue
             if rank != floor and not self._keeps_slots_free(waiting):
                 continue
-            chosen = routing.choose(waiting, self._candidates(waiting, now))
+            chosen = serverselection.select_server(
+                waiting, self._candidates(waiting, now)
+            )
             if chosen is None:
                 unplaced.add(rank)
                 continue
@@ -441,7 +443,7 @@
 
     def _candidates(
         self, waiting: QueuedRequest, now: float
-    ) -> list[routing.Candidate]:
+    ) -> list[serverselection.Candidate]:
         candidates = []
         for server in self._usable():
             name = server.name
@@ -451,7 +453,7 @@
             if self._backing_off(name, now):
                 continue
             candidates.append(
-                routing.Candidate(
+                serverselection.Candidate(
                     server,
                     self._granted[name],
                     unattributed,
--- a/src/jasminerelay/routing.py
+++ b/src/jasminerelay/serverselection.py
@@ -22,25 +22,25 @@
     Attributes:
         server: Its entry in the manifest.
         granted: Permits granted on it and not yet released.
-        unexplained: Requests in its load report that no permit accounts for.
+        unattributed: Requests in its load report that no permit accounts for.
         slowness: Step time relative to the median of its peers.
-        matched: Leading blocks of the prompt that its prefix cache probably
+        cached_blocks: Leading blocks of the prompt that its prefix cache probably
             holds.
     """
 
     server: Server
     granted: int
-    unexplained: int
+    unattributed: int
     slowness: float
-    matched: int
+    cached_blocks: int
 
     @property
     def free(self) -> int:
         """Number of slots that may still be granted."""
-        return self.server.slots - self.granted - self.unexplained
+        return self.server.slots - self.granted - self.unattributed
 
 
-def choose(
+def select_server(
     waiting: QueuedRequest, candidates: list[Candidate]
 ) -> Candidate | None:
     """Returns the best candidate with a free slot, or None.
@@ -66,7 +66,7 @@
 def _score(waiting: QueuedRequest, item: Candidate) -> float:
     busy = 1 - item.free / item.server.slots
     hit_ratio = (
-        item.matched / len(waiting.prefixes) if waiting.prefixes else 0.0
+        item.cached_blocks / len(waiting.prefixes) if waiting.prefixes else 0.0
     )
     excess_slowness = max(0.0, item.slowness - 1.0)
     return busy - PREFIX_WEIGHT * hit_ratio + STRAGGLER_WEIGHT * excess_slowness
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -82,7 +82,7 @@
         "rendezvous",
         "resume",
         "retry",
-        "routing",
+        "serverselection",
         "scaling",
         "sharedbudget",
         "responsemonitor",
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,9 +13,9 @@
 from jasminerelay.outcome import Outcome, State
 from jasminerelay.prefix import BLOCK_CHARS, PrefixIndex, block_hashes
 from jasminerelay.retry import RetryBudget
-from jasminerelay.routing import Candidate, choose
 from jasminerelay.schema.manifest import ServiceClass
 from jasminerelay.schema.messages import Member
+from jasminerelay.serverselection import Candidate, select_server
 from jasminerelay.stragglers import Stragglers
 from tests.fakes import server, waiting
 
@@ -50,7 +50,7 @@
         )
 
     def test_least_loaded(self) -> None:
-        chosen = choose(
+        chosen = select_server(
             waiting("x"),
             [self.candidate("a", granted=2), self.candidate("b", granted=1)],
         )
@@ -60,15 +60,17 @@
         item = waiting("x", prefixes=(1, 2))
         warm = self.candidate("warm", granted=1, matched=2)
         self.assertEqual(
-            choose(item, [warm, self.candidate("cold")]).server.name, "warm"
+            select_server(item, [warm, self.candidate("cold")]).server.name,
+            "warm",
         )
         hot = self.candidate("hot", granted=3, matched=2)
         self.assertEqual(
-            choose(item, [hot, self.candidate("cold")]).server.name, "cold"
+            select_server(item, [hot, self.candidate("cold")]).server.name,
+            "cold",
         )
 
     def test_straggler_is_chosen_last(self) -> None:
-        chosen = choose(
+        chosen = select_server(
             waiting("x"),
             [
                 self.candidate("slow", slowness=5.0),
@@ -81,12 +83,12 @@
         full = self.candidate("full", granted=3, unexplained=1)
         failed = self.candidate("failed")
         item = waiting("x", avoid=("failed",))
-        self.assertIsNone(choose(item, [full, failed]))
+        self.assertIsNone(select_server(item, [full, failed]))
 
     def test_resumes_on_the_server_of_its_stream(self) -> None:
         item = waiting("x", resume_on="b")
         both = [self.candidate("a"), self.candidate("b", granted=3)]
-        self.assertEqual(choose(item, both).server.name, "b")
+        self.assertEqual(select_server(item, both).server.name, "b")
 
 
 class PrefixIndexTest(unittest.TestCase):
