--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -9,9 +9,9 @@
 
 _MODULES = {
     "Book": "burn",
-    "Borrower": "limits",
+    "BorrowedBalance": "limits",
     "Broker": "broker",
-    "Bucket": "limits",
+    "TokenBucket": "limits",
     "Candidate": "serverselection",
     "Cell": "manifest",
     "Decision": "broker",
--- a/src/jasminerelay/brokerhost.py
+++ b/src/jasminerelay/brokerhost.py
@@ -11,7 +11,7 @@
 from jasminerelay.broker import REFUSED_UNKNOWN_CELL, Broker
 from jasminerelay.errors import InvariantError
 from jasminerelay.fairqueue import queued_request
-from jasminerelay.limits import Bucket, Limit
+from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.loadwatch import LoadWatch
 from jasminerelay.manifest import Cell, Directory
 from jasminerelay.metrics import Counters, Invariants
@@ -75,7 +75,7 @@
         self._counters = counters
         self._invariants = invariants
         self._hosted: dict[str, _HostedBroker] = {}
-        self._buckets: dict[str, Bucket] = {}
+        self._buckets: dict[str, TokenBucket] = {}
         self._sessions: dict[str, SendFrame] = {}
         self._disconnected: dict[str, float] = {}
         self._leaving: set[str] = set()
@@ -249,7 +249,7 @@
         bucket = self._buckets.get(organisation.name)
         if bucket is None:
             self._counters.incr("limit.homes")
-            bucket = Bucket(limit, now)
+            bucket = TokenBucket(limit, now)
             self._buckets[organisation.name] = bucket
         lent = bucket.lend(message.tokens, now)
         loan = Loan(organisation.name, lent, bucket.retry_s(message.tokens))
--- a/src/jasminerelay/dutydesk.py
+++ b/src/jasminerelay/dutydesk.py
@@ -6,7 +6,7 @@
 from jasminerelay.dutycalls import CallResult, DutyCalls
 from jasminerelay.eventlog import EventLog
 from jasminerelay.leasing import LeaseKeeper
-from jasminerelay.limits import Bucket, Limit
+from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.metrics import Counters
 from jasminerelay.scaling import Order
 from jasminerelay.usage import Report
@@ -41,7 +41,7 @@
         """
         self._keeper = keeper
         self._calls = calls
-        self._bucket = Bucket(Limit(calls_s, max(1.0, calls_s)), clock())
+        self._bucket = TokenBucket(Limit(calls_s, max(1.0, calls_s)), clock())
         self._clock = clock
         self._counters = counters
         self._log = log
--- a/src/jasminerelay/limits.py
+++ b/src/jasminerelay/limits.py
@@ -29,7 +29,7 @@
         return cls(tokens_per_s, burst_tokens or tokens_per_s * DEFAULT_BURST_S)
 
 
-class Bucket:
+class TokenBucket:
     """Token bucket of an organisation, kept by its coordinator."""
 
     def __init__(self, limit: Limit, now: float):
@@ -55,7 +55,7 @@
         return max(0.0, missing / self._limit.tokens_per_s)
 
 
-class Borrower:
+class BorrowedBalance:
     """Balance of tokens that one instance has borrowed for an organisation."""
 
     def __init__(self, limit: Limit, instances: int):
@@ -79,11 +79,11 @@
         """
         self._balance += surplus
 
-    def wanted(self, tokens: float) -> float:
+    def tokens_to_borrow(self, tokens: float) -> float:
         """Returns how many tokens to borrow: the shortfall and a batch."""
         batch = self._limit.tokens_per_s * LOAN_BATCH_S / self._instances
         return max(0.0, tokens - self._balance) + batch
 
-    def lent(self, tokens: float) -> None:
+    def add_loan(self, tokens: float) -> None:
         """Adds borrowed tokens to the balance."""
         self._balance += tokens
--- a/src/jasminerelay/permits.py
+++ b/src/jasminerelay/permits.py
@@ -11,7 +11,7 @@
 from jasminerelay.broker import REFUSED_UNKNOWN_CELL, Broker
 from jasminerelay.errors import InvariantError
 from jasminerelay.fairqueue import queued_request
-from jasminerelay.limits import Borrower, Bucket, Limit
+from jasminerelay.limits import BorrowedBalance, Limit, TokenBucket
 from jasminerelay.manifest import Cell, Directory
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.naive import NaiveBroker
@@ -105,8 +105,8 @@
         self._live_names: list[str] = []
         self._live_names_at = float("-inf")
         self._broker_names: dict[str, str] = {}
-        self._borrowers: dict[str, Borrower] = {}
-        self._fallback_buckets: dict[str, Bucket] = {}
+        self._borrowers: dict[str, BorrowedBalance] = {}
+        self._fallback_buckets: dict[str, TokenBucket] = {}
         self._loan_events: dict[str, list[anyio.Event]] = {}
         self._last_loans: dict[str, Loan] = {}
 
@@ -197,13 +197,15 @@
             return None
         limit = _limit_of(organisation)
         borrower = self._borrowers.setdefault(
-            organisation.name, Borrower(limit, len(self._live()) or 1)
+            organisation.name, BorrowedBalance(limit, len(self._live()) or 1)
         )
         tokens = min(tokens, limit.burst)
         if borrower.take(tokens):
             return None
-        loan = await self._request_loan(organisation, borrower.wanted(tokens))
-        borrower.lent(loan.tokens)
+        loan = await self._request_loan(
+            organisation, borrower.tokens_to_borrow(tokens)
+        )
+        borrower.add_loan(loan.tokens)
         return None if borrower.take(tokens) else loan
 
     def settle(
@@ -518,7 +520,7 @@
         share = self._fallback_buckets.get(organisation.name)
         if share is None:
             rate = organisation.tokens_per_s / max(1, len(names))
-            share = Bucket(Limit(rate, rate), now)
+            share = TokenBucket(Limit(rate, rate), now)
             self._fallback_buckets[organisation.name] = share
         lent = share.lend(wanted, now)
         return Loan(organisation.name, lent, share.retry_s(wanted))
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -24,7 +24,7 @@
     NotSentError,
 )
 from jasminerelay.leasing import LeaseKeeper
-from jasminerelay.limits import Bucket, Limit
+from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.manifest import Directory
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.manifest import Placement, Server
@@ -114,7 +114,7 @@
             time.monotonic,
         )
         self._keeper.on_taken = self._on_lease_taken
-        self._bucket: Bucket | None = None
+        self._bucket: TokenBucket | None = None
         self._bucket_rate = 0.0
 
     @property
@@ -153,7 +153,7 @@
     async def _reconcile(self, directory: Directory) -> None:
         rate = directory.manifest.weight_loads_per_s
         if self._bucket is None or rate != self._bucket_rate:
-            self._bucket = Bucket(Limit(rate, 1.0), time.monotonic())
+            self._bucket = TokenBucket(Limit(rate, 1.0), time.monotonic())
             self._bucket.lend(1.0, time.monotonic())
             self._bucket_rate = rate
         for placement in directory.manifest.placements:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -9,7 +9,7 @@
 from jasminerelay import burn, entrylist, rendezvous
 from jasminerelay.errors import InvariantError
 from jasminerelay.estimate import Estimator
-from jasminerelay.limits import Borrower, Bucket, Limit
+from jasminerelay.limits import BorrowedBalance, Limit, TokenBucket
 from jasminerelay.outcome import Outcome, State
 from jasminerelay.prefix import BLOCK_CHARS, PrefixIndex, block_hashes
 from jasminerelay.retry import RetryBudget
@@ -218,27 +218,29 @@
     )
     def test_total_use_stays_within_the_limit(self, count, requests) -> None:
         limit = Limit(100.0, 200.0)
-        bucket = Bucket(limit, 0.0)
-        borrowers = [Borrower(limit, count) for _ in range(count)]
+        bucket = TokenBucket(limit, 0.0)
+        borrowers = [BorrowedBalance(limit, count) for _ in range(count)]
         now, used = 0.0, 0.0
         for index, tokens, pause in requests:
             now += pause
             borrower = borrowers[index % count]
             if not borrower.take(tokens):
-                borrower.lent(bucket.lend(borrower.wanted(tokens), now))
+                borrower.add_loan(
+                    bucket.lend(borrower.tokens_to_borrow(tokens), now)
+                )
                 if not borrower.take(tokens):
                     continue
             used += tokens
         self.assertLessEqual(used, 200.0 + 100.0 * now + 1e-6)
 
     def test_retry_after(self) -> None:
-        bucket = Bucket(Limit(10.0, 20.0), 0.0)
+        bucket = TokenBucket(Limit(10.0, 20.0), 0.0)
         self.assertEqual(bucket.lend(30.0, 0.0), 20.0)
         self.assertAlmostEqual(bucket.retry_s(5.0), 0.5)
 
     def test_unused_tokens_are_returned(self) -> None:
-        borrower = Borrower(Limit(10.0, 20.0), 1)
-        borrower.lent(10.0)
+        borrower = BorrowedBalance(Limit(10.0, 20.0), 1)
+        borrower.add_loan(10.0)
         self.assertTrue(borrower.take(10.0))
         borrower.settle(7.0)
         self.assertTrue(borrower.take(7.0))
