--- a/src/jasminerelay/naive.py
+++ b/src/jasminerelay/naive.py
@@ -27,18 +27,18 @@
         )
         self._leaving: set[str] = set()
         self._pending_refusals: list[Decision] = []
-        self.update(cell)
+        self.update_cell(cell)
 
     @property
     def waiting(self) -> int:
         """Number of queued requests."""
         return len(self._queue)
 
-    def update(self, cell: Cell) -> None:
+    def update_cell(self, cell: Cell) -> None:
         """Replaces the cell's definition."""
         self._cell = cell
 
-    def ask(self, waiting: QueuedRequest, now: float) -> None:
+    def enqueue(self, waiting: QueuedRequest, now: float) -> None:
         """Queues a request, or schedules its refusal if the queue is full."""
         del now
         if len(self._queue) >= self._cell.max_waiting:
@@ -55,13 +55,15 @@
             item for item in self._queue if item.ask_id != release.ask_id
         )
 
-    def report(self, server: str, report: LoadReport, now: float) -> None:
+    def on_load_report(
+        self, server: str, report: LoadReport, now: float
+    ) -> None:
         """Records a load report and restarts the count of newer grants."""
         del now
         self._reported[server] = report.running + report.waiting
         self._granted_since_report[server] = 0
 
-    def set_leaving(self, servers: set[str]) -> None:
+    def set_leaving_servers(self, servers: set[str]) -> None:
         """Sets the leaving backend servers, which get no new requests."""
         self._leaving = servers
 
