--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -23,7 +23,7 @@
 from jasminerelay.broker import Broker
 from jasminerelay.membership import ALIVE, Membership
 from jasminerelay.metrics import Counters, Invariants
-from jasminerelay.permits import PermitDesk
+from jasminerelay.permitclient import PermitClient
 from jasminerelay.prefix import PrefixIndex
 from jasminerelay.schema.messages import (
     Ask,
@@ -257,7 +257,7 @@
     """CPU time of a tick with the permits that one instance holds."""
     members = [_make_member(number) for number in range(instances)]
     counters = Counters(Statsd())
-    permit_client = PermitDesk(
+    permit_client = PermitClient(
         members[0],
         lambda: members,
         lambda: None,
@@ -268,7 +268,7 @@
     )
     for number in range(STREAMS):
         cell = f"pool-{number % MODELS}/0"
-        permit_client.adopt(Held(str(number), cell, "server", 3, False))
+        permit_client.take_over(Held(str(number), cell, "server", 3, False))
     counter = iter(range(10**9))
     return _cpu_us(lambda: permit_client._tick(float(next(counter))), 200)
 
--- a/src/jasminerelay/answerkit.py
+++ b/src/jasminerelay/answerkit.py
@@ -8,7 +8,7 @@
 from jasminerelay.backends import Engines
 from jasminerelay.estimate import Estimator
 from jasminerelay.metrics import Counters, Invariants
-from jasminerelay.permits import PermitDesk
+from jasminerelay.permitclient import PermitClient
 from jasminerelay.resume import Signer
 from jasminerelay.retry import RetryBudget
 from jasminerelay.schema.manifest import (
@@ -72,7 +72,7 @@
         spawn: Runs a function in the background, independent of the request.
     """
 
-    desk: PermitDesk
+    desk: PermitClient
     engines: Engines
     signer: Signer
     book: burn.Book
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -42,7 +42,7 @@
 from jasminerelay.manifest import Directory
 from jasminerelay.manifests import ManifestKeeper
 from jasminerelay.metrics import Counters, Invariants
-from jasminerelay.permits import PermitDesk
+from jasminerelay.permitclient import PermitClient
 from jasminerelay.placements import Placer
 from jasminerelay.resume import Signer
 from jasminerelay.retry import RetryBudget
@@ -272,7 +272,7 @@
         self._broker_links = peers.BrokerLinks(
             cfg.instance, self._brokers, self._peer_credentials, self.counters
         )
-        self.permit_client = PermitDesk(
+        self.permit_client = PermitClient(
             self.membership.own_member,
             self.membership.live,
             self._directory,
@@ -383,7 +383,7 @@
         directory = self._directory()
         servers = {server.name: server for server in self._brokers.servers()}
         if directory is not None:
-            for name in self.permit_client.local_cells():
+            for name in self.permit_client.locally_granted_cells():
                 if name in directory.cells:
                     for server in directory.cells[name].servers:
                         servers[server.name] = server
@@ -395,7 +395,7 @@
         elif self._leaving_hold_expired(server):
             self._publish_notice(server, leaving=False)
         self._brokers.on_load_report(server, report, now)
-        self.permit_client.report(server, report, now)
+        self.permit_client.on_load_report(server, report, now)
 
     def _on_server_leaving(self, server: str) -> None:
         notice = self.membership.notice_of(server)
@@ -433,7 +433,7 @@
     def _apply_leaving_servers(self) -> None:
         leaving = self.membership.leaving_servers()
         self._brokers.set_leaving_servers(leaving)
-        self.permit_client.set_leaving(leaving)
+        self.permit_client.set_leaving_servers(leaving)
 
     def _on_verified(self, pointer: ManifestPointer) -> None:
         self.membership.manifest_pointer = pointer
@@ -441,7 +441,7 @@
 
     def _on_adopted(self) -> None:
         self._brokers.on_manifest_changed()
-        self.permit_client.manifest_changed()
+        self.permit_client.on_manifest_changed()
 
     async def _fetch_peer(
         self, address: str, pointer: ManifestPointer
--- a/src/jasminerelay/permits.py
+++ b/src/jasminerelay/permitclient.py
@@ -50,13 +50,13 @@
 
 
 @dataclasses.dataclass
-class _HeldPermit:
+class _PermitRecord:
     held: Held
     broker_name: str
     revoked: bool = False
 
 
-class PermitDesk:
+class PermitClient:
     """Acquires and holds the permits of one instance.
 
     Requests permits from the broker of each cell. If the broker is
@@ -97,7 +97,7 @@
         self._timeout_s = timeout_s
         self._coordination = coordination
         self._pending: dict[str, _PendingRequest] = {}
-        self._held_permits: dict[str, _HeldPermit] = {}
+        self._held_permits: dict[str, _PermitRecord] = {}
         self._last_frame_at: dict[str, float] = {}
         self._wake = anyio.Event()
         self._local_brokers: dict[str, Broker | NaiveBroker] = {}
@@ -160,11 +160,11 @@
             raise
         return pending.result
 
-    def adopt(self, held: Held) -> None:
+    def take_over(self, held: Held) -> None:
         """Takes over a permit that another instance held for a stream."""
         broker_name = self._broker_of(held.cell)
         self._wake.set()
-        self._held_permits[held.ask_id] = _HeldPermit(held, broker_name)
+        self._held_permits[held.ask_id] = _PermitRecord(held, broker_name)
         self._send(broker_name, self._frame(held=[held]))
 
     def release(self, release: Release) -> None:
@@ -253,13 +253,15 @@
         """Marks a broker as unreachable."""
         self._last_frame_at[peer] = float("-inf")
 
-    def report(self, server: str, report: LoadReport, now: float) -> None:
+    def on_load_report(
+        self, server: str, report: LoadReport, now: float
+    ) -> None:
         """Passes a load report to the local brokers."""
         for cell, broker in self._local_brokers.items():
             broker.on_load_report(server, report, now)
             self._step_local_broker(cell, now)
 
-    def manifest_changed(self) -> None:
+    def on_manifest_changed(self) -> None:
         """Applies the cells and limits of a newer manifest."""
         self._borrowers.clear()
         self._fallback_buckets.clear()
@@ -267,11 +269,11 @@
         for name, broker in self._local_brokers.items():
             broker.update_cell(directory.cells.get(name, Cell(name, (), 1)))
 
-    def local_cells(self) -> list[str]:
+    def locally_granted_cells(self) -> list[str]:
         """Returns the cells that have a local fallback broker."""
         return list(self._local_brokers)
 
-    def set_leaving(self, servers: set[str]) -> None:
+    def set_leaving_servers(self, servers: set[str]) -> None:
         """Sets the backend servers that are leaving, according to gossip."""
         self._leaving = servers
         for broker in self._local_brokers.values():
@@ -403,7 +405,7 @@
             pending.request.rank,
             pending.request.preemptible,
         )
-        self._held_permits[message.ask_id] = _HeldPermit(
+        self._held_permits[message.ask_id] = _PermitRecord(
             held, pending.broker_name
         )
         if peer:
--- a/src/jasminerelay/resumedanswers.py
+++ b/src/jasminerelay/resumedanswers.py
@@ -52,7 +52,7 @@
             self._context.timing.first_byte_timeout_s,
             self._context.timing.token_timeout_s,
         )
-        self._context.desk.adopt(held)
+        self._context.desk.take_over(held)
         self.outcome.waiting()
         self.outcome.dispatched()
         try:
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -20,7 +20,7 @@
 from jasminerelay.httpclient import Exchange, Reply
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.outcome import Outcome, State
-from jasminerelay.permits import PermitDesk
+from jasminerelay.permitclient import PermitClient
 from jasminerelay.retry import RetryBudget
 from jasminerelay.schema.manifest import (
     Call,
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        desk: PermitDesk,
+        desk: PermitClient,
         services: Services,
         claim_desk: ClaimDesk,
         book: burn.Book,
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -137,7 +137,7 @@
     ),
     Safeguard(
         "one broker orders the pool (without: the naive version)",
-        "permits",
+        "permitclient",
         "        self._coordination = coordination\n",
         '        self._coordination = "naive"\n',
         "test_coordination.OverloadTest.test_protected_is_never_shed",
@@ -260,7 +260,7 @@
     ),
     Safeguard(
         "a former broker keeps no permit",
-        "permits",
+        "permitclient",
         "                self._send(permit.broker_name,"
         " self._frame(releases=[gone]))\n                permit.broker_name",
         "                permit.broker_name",
@@ -276,7 +276,7 @@
     ),
     Safeguard(
         "a late grant goes back to its cell",
-        "permits",
+        "permitclient",
         "gone = Release(grant.ask_id, grant.cell, 0.0, False, 0.0)",
         'gone = Release(grant.ask_id, "", 0.0, False, 0.0)',
         "test_permits.PermitsTest.test_unresponsive_broker_and_late_grant",
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -10,7 +10,7 @@
 from jasminerelay import manifest, rendezvous
 from jasminerelay.brokerhost import BrokerHost
 from jasminerelay.metrics import Counters, Invariants
-from jasminerelay.permits import PermitDesk
+from jasminerelay.permitclient import PermitClient
 from jasminerelay.schema.messages import (
     Ask,
     EntryFrame,
@@ -62,7 +62,7 @@
             for name in self.names
         }
         self.desks = {
-            name: PermitDesk(
+            name: PermitClient(
                 Member(name, "1", "z", "", "", "", "alive", 1),
                 self.live,
                 lambda: self.directory,
@@ -147,7 +147,7 @@
         # pending requests. The dictionary of permits then changed during
         # iteration and the instance crashed (randomised run, seed 5).
         for number in range(3):
-            self.desk.adopt(Held(str(number), "pool/0", "s", 1, False))
+            self.desk.take_over(Held(str(number), "pool/0", "s", 1, False))
         self.instances.down.add(self.instances.broker_name)
         sent = self.desk._send
 
