--- a/bench/claims.py
+++ b/bench/claims.py
@@ -11,7 +11,7 @@
 import anyio
 
 from bench import figures
-from jasminerelay.claimdesk import ClaimDesk, Won
+from jasminerelay.claimstore import AcquiredClaim, ClaimStore
 from jasminerelay.errors import StoreError
 from jasminerelay.httpclient import Client
 from jasminerelay.metrics import Counters
@@ -72,7 +72,7 @@
 ) -> int:
     client = Client(Watchdog())
     platform = Platform(**urls)
-    desk = ClaimDesk(
+    desk = ClaimStore(
         Table(client, platform, 2.0),
         Objects(client, platform, 2.0),
         Counters(Statsd()),
@@ -88,7 +88,7 @@
             number += 1
             started = time.monotonic()
             try:
-                result = await desk.claim(
+                result = await desk.acquire(
                     f"claim/{name}-{number}", "d", MAX_CALL_S
                 )
             except StoreError:
@@ -96,8 +96,8 @@
                 continue
             latencies.append(time.monotonic() - started)
             await anyio.sleep(CALL_DURATION_S)
-            if isinstance(result, Won):
-                await desk.finish(result, 200, "text/plain", b"done")
+            if isinstance(result, AcquiredClaim):
+                await desk.record_answer(result, 200, "text/plain", b"done")
 
     async with anyio.create_task_group() as group:
         group.start_soon(desk.run)
--- a/src/jasminerelay/claimdesk.py
+++ b/src/jasminerelay/claimstore.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Won:
+class AcquiredClaim:
     """A claim acquired by this instance, which may dispatch the call once.
 
     Attributes:
@@ -63,7 +63,7 @@
     error: StoreError | None = None
 
 
-class ClaimDesk:
+class ClaimStore:
     """Acquires claims and records outcomes for one instance."""
 
     def __init__(
@@ -96,9 +96,9 @@
                     del self._queue[:MAX_BATCH]
                     await self._commit(batch)
 
-    async def claim(
+    async def acquire(
         self, key: str, digest: str, max_call_s: float
-    ) -> Won | RecordedAnswer:
+    ) -> AcquiredClaim | RecordedAnswer:
         """Acquires the claim of a call, or returns the recorded answer.
 
         Args:
@@ -132,9 +132,9 @@
                 retry_s=1.0,
             ) from None
 
-    async def finish(
+    async def record_answer(
         self,
-        acquired: Won,
+        acquired: AcquiredClaim,
         status: int,
         content_type: str,
         body: bytes,
@@ -158,14 +158,16 @@
             self._record, acquired, claim, body if object_key else b""
         )
 
-    async def close_without_answer(self, acquired: Won, state: str) -> None:
+    async def close_without_answer(
+        self, acquired: AcquiredClaim, state: str
+    ) -> None:
         """Closes a claim as `claims.NOT_RUN` or `claims.UNKNOWN`."""
         claim = dataclasses.replace(acquired.claim, state=state)
         self._run_in_background(self._record, acquired, claim, b"")
 
     async def _acquire(
         self, key: str, claim: Claim, max_call_s: float
-    ) -> Won | RecordedAnswer:
+    ) -> AcquiredClaim | RecordedAnswer:
         expect = ABSENT
         while True:
             try:
@@ -178,14 +180,14 @@
                 await anyio.sleep(RETRY_PAUSE_S)
                 continue
             if written.ok and written.row is not None:
-                return Won(key, written.row.version, claim)
+                return AcquiredClaim(key, written.row.version, claim)
             row = written.row
             if row is None:
                 expect = ABSENT
                 continue
             held = msgspec.convert(row.value, Claim)
             if held.token == claim.token:
-                return Won(key, row.version, claim)
+                return AcquiredClaim(key, row.version, claim)
             if held.state == claims.NOT_RUN and held.digest == claim.digest:
                 expect = row.version
                 continue
@@ -204,7 +206,9 @@
             )
         return RecordedAnswer(held, body)
 
-    async def _record(self, acquired: Won, claim: Claim, body: bytes) -> None:
+    async def _record(
+        self, acquired: AcquiredClaim, claim: Claim, body: bytes
+    ) -> None:
         self.unrecorded += 1
         try:
             if body:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -33,7 +33,7 @@
 )
 from jasminerelay.answerkit import Kit
 from jasminerelay.brokerhost import BrokerHost
-from jasminerelay.claimdesk import ClaimDesk
+from jasminerelay.claimstore import ClaimStore
 from jasminerelay.completions import Completions
 from jasminerelay.errors import StoreError
 from jasminerelay.estimate import Estimator
@@ -297,7 +297,7 @@
     def _wire_requests(self) -> None:
         cfg = self.cfg
         signer = Signer(cfg.keys.resume_secret)
-        self._claim_store = ClaimDesk(
+        self._claim_store = ClaimStore(
             self._table_client,
             self._object_store,
             self.counters,
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -9,7 +9,7 @@
 
 from jasminerelay import burn, claims
 from jasminerelay.backends import AttemptError, Proof, Services
-from jasminerelay.claimdesk import ClaimDesk, RecordedAnswer, Won
+from jasminerelay.claimstore import AcquiredClaim, ClaimStore, RecordedAnswer
 from jasminerelay.errors import (
     RAN_UNKNOWN,
     BackendError,
@@ -80,7 +80,7 @@
         self,
         desk: PermitClient,
         services: Services,
-        claim_desk: ClaimDesk,
+        claim_desk: ClaimStore,
         book: burn.Book,
         counters: Counters,
         invariants: Invariants,
@@ -152,7 +152,7 @@
     async def _reply_with_retries(
         self, request: ServiceRequest, outcome: Outcome, started: float
     ) -> Reply:
-        acquired: Won | None = None
+        acquired: AcquiredClaim | None = None
         avoid: list[str] = []
         while True:
             permit_request = self._new_permit_request(request, avoid, started)
@@ -177,7 +177,7 @@
                 reply = await self._dispatch(request, server, outcome)
                 failed = False
                 if acquired is not None:
-                    await self._claims.finish(
+                    await self._claims.record_answer(
                         acquired,
                         reply.status,
                         reply.headers.get("content-type", ""),
@@ -206,14 +206,14 @@
 
     async def _acquire_claim(
         self, request: ServiceRequest
-    ) -> Won | RecordedAnswer:
+    ) -> AcquiredClaim | RecordedAnswer:
         key = claims.row_key(
             request.organisation.name, request.service.name, request.key
         )
         digest = claims.request_digest(
             request.method, request.path, request.query, request.body
         )
-        return await self._claims.claim(
+        return await self._claims.acquire(
             key, digest, request.service.timeout_s + CLAIM_MARGIN_S
         )
 
@@ -250,7 +250,7 @@
         request: ServiceRequest,
         server: Server,
         outcome: Outcome,
-        acquired: Won | None,
+        acquired: AcquiredClaim | None,
         avoid: list[str],
     ) -> None:
         """Returns if the call may be retried, else raises."""
@@ -284,7 +284,7 @@
             )
 
     async def _close_claim(
-        self, acquired: Won | None, outcome: Outcome
+        self, acquired: AcquiredClaim | None, outcome: Outcome
     ) -> None:
         if acquired is None:
             return
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -80,14 +80,14 @@
     ),
     Safeguard(
         "a claim recognises its own token",
-        "claimdesk",
-        "if held.token == claim.token:\n                return Won",
-        "if False:\n                return Won",
+        "claimstore",
+        "if held.token == claim.token:\n                return AcquiredClaim",
+        "if False:\n                return AcquiredClaim",
         "test_atmostonce.AtMostOnceTest.test_claim_acknowledgement_lost",
     ),
     Safeguard(
         "an abandoned claim is reopened",
-        "claimdesk",
+        "claimstore",
         "            self._run_in_background("
         "self._close_unacknowledged, key, claim)\n",
         "",
