--- a/src/jasminerelay/brokerhost.py
+++ b/src/jasminerelay/brokerhost.py
@@ -12,7 +12,7 @@
 from jasminerelay.errors import InvariantError
 from jasminerelay.fairqueue import queued_request
 from jasminerelay.limits import Limit, TokenBucket
-from jasminerelay.loadwatch import LoadWatch
+from jasminerelay.loadpoller import LoadPoller
 from jasminerelay.manifest import Cell, Directory
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.schema.manifest import Server
@@ -82,7 +82,7 @@
         self._heartbeat_at = 0.0
         self._wake = anyio.Event()
         self._background: TaskGroup | None = None
-        self._load_poller: LoadWatch | None = None
+        self._load_poller: LoadPoller | None = None
 
     @property
     def cells(self) -> dict[str, tuple[int, int]]:
@@ -92,7 +92,7 @@
             for name, hosted in self._hosted.items()
         }
 
-    def set_load_poller(self, watch: LoadWatch) -> None:
+    def set_load_poller(self, watch: LoadPoller) -> None:
         """Sets the poller that fetches load reports when a broker starts."""
         self._load_poller = watch
 
@@ -287,7 +287,7 @@
         with anyio.move_on_after(WARM_UP_S):
             async with anyio.create_task_group() as group:
                 for server in directory.cells[cell].servers:
-                    group.start_soon(self._load_poller.ask, server)
+                    group.start_soon(self._load_poller.poll, server)
         hosted.ready = True
         self._step({cell}, time.monotonic())
 
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -38,7 +38,7 @@
 from jasminerelay.errors import StoreError
 from jasminerelay.estimate import Estimator
 from jasminerelay.httpclient import Client
-from jasminerelay.loadwatch import LoadWatch
+from jasminerelay.loadpoller import LoadPoller
 from jasminerelay.manifest import Directory
 from jasminerelay.manifests import ManifestKeeper
 from jasminerelay.metrics import Counters, Invariants
@@ -260,7 +260,7 @@
         self._brokers = BrokerHost(
             self._directory, self.counters, self._invariants
         )
-        self._load_poller = LoadWatch(
+        self._load_poller = LoadPoller(
             self._probe_client,
             self._watched_servers,
             self._on_load,
--- a/src/jasminerelay/loadwatch.py
+++ b/src/jasminerelay/loadpoller.py
@@ -15,7 +15,7 @@
 CacheEventSubscriber = Callable[[str, list[CacheEvent]], None]
 
 
-class LoadWatch:
+class LoadPoller:
     """Polls the servers that a callback returns, all concurrently."""
 
     def __init__(
@@ -50,10 +50,10 @@
         while True:
             async with anyio.create_task_group() as group:
                 for server in self._servers():
-                    group.start_soon(self.ask, server)
+                    group.start_soon(self.poll, server)
                 group.start_soon(anyio.sleep, self._interval_s)
 
-    async def ask(self, server: Server) -> None:
+    async def poll(self, server: Server) -> None:
         """Polls one server once."""
         report = await read_load(self._client, server, self._interval_s)
         if report is None:
