--- a/src/jasminerelay/answerkit.py
+++ b/src/jasminerelay/answercontext.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Placement:
+class RequestPolicy:
     """Manifest entries that apply to a model request.
 
     Attributes:
@@ -45,24 +45,24 @@
 
     Attributes:
         data: JSON object with the relay's ID for the request.
-        point: Resume point after this event, or empty.
+        resume_point: Resume point after this event, or empty.
         usage_only: Whether it holds only usage counts.
     """
 
     data: dict[str, Any]
-    point: str
+    resume_point: str
     usage_only: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
-class Kit:
+class AnswerContext:
     """Components of an instance that answers depend on.
 
     Attributes:
-        desk: Acquires permits.
+        permit_client: Acquires permits.
         engines: Client of the model engines.
         signer: Signs resume points and return tickets.
-        book: Records samples for the burn report.
+        burn_recorder: Records samples for the burn report.
         counters: Counters of the instance.
         invariants: Reports invariant violations.
         timing: Timeouts.
@@ -72,10 +72,10 @@
         spawn: Runs a function in the background, independent of the request.
     """
 
-    desk: PermitClient
+    permit_client: PermitClient
     engines: Engines
     signer: Signer
-    book: burn.Book
+    burn_recorder: burn.Book
     counters: Counters
     invariants: Invariants
     timing: Timing
--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from jasminerelay import burn
-from jasminerelay.answerkit import AnswerEvent, Kit, Placement
+from jasminerelay.answercontext import AnswerContext, AnswerEvent, RequestPolicy
 from jasminerelay.backends import (
     Attempt,
     AttemptError,
@@ -58,7 +58,12 @@
         outcome: State machine of the request.
     """
 
-    def __init__(self, kit: Kit, request: ModelRequest, placement: Placement):
+    def __init__(
+        self,
+        kit: AnswerContext,
+        request: ModelRequest,
+        placement: RequestPolicy,
+    ):
         self._context = kit
         self._request = request
         self._placement = placement
@@ -100,7 +105,7 @@
             raise
         finally:
             if self._tokens_taken:
-                self._context.desk.settle(
+                self._context.permit_client.settle(
                     self._placement.organisation,
                     self._tokens_taken,
                     self._delivered_tokens,
@@ -110,7 +115,7 @@
 
     async def _take_rate_limit_tokens(self) -> None:
         work = self._estimated_tokens()
-        loan = await self._context.desk.take_tokens(
+        loan = await self._context.permit_client.take_tokens(
             self._placement.organisation, work
         )
         if loan is not None:
@@ -173,7 +178,7 @@
 
     async def _acquire_permit(self, permit_request: Ask) -> Grant:
         self.outcome.waiting()
-        result = await self._context.desk.acquire(permit_request)
+        result = await self._context.permit_client.acquire(permit_request)
         if isinstance(result, Refusal):
             raise self._refusal_error(result)
         return result
@@ -253,7 +258,7 @@
         The engine's prefix cache still holds the prompt and the computed
         tokens, so continuing on the same server later costs little.
         """
-        if self._finished or not self._context.desk.is_revoked(
+        if self._finished or not self._context.permit_client.is_revoked(
             permit_request.ask_id
         ):
             return False
@@ -350,7 +355,7 @@
             useful,
             self._wasted_tokens,
         )
-        self._context.book.add(sample, time.monotonic())
+        self._context.burn_recorder.add(sample, time.monotonic())
         self._context.counters.incr(f"request.{ended}")
         self._context.counters.incr("tokens.useful", useful)
         self._context.counters.incr(
@@ -392,7 +397,7 @@
         cls = self._placement.service_class
         prefixes = block_hashes(self._request.prompt)
         organisation = self._placement.organisation
-        cell = self._context.desk.choose_cell(
+        cell = self._context.permit_client.choose_cell(
             self._placement.pool, organisation.name, prefixes
         )
         waited = time.monotonic() - self._arrived
@@ -489,7 +494,7 @@
         if tokens > 1:
             span = self._last_token_at - self._arrived - self._first_token_s
             step_s = max(0.0, span / (tokens - 1))
-        self._context.desk.release(
+        self._context.permit_client.release(
             Release(
                 permit_request.ask_id,
                 permit_request.cell,
--- a/src/jasminerelay/callers.py
+++ b/src/jasminerelay/callers.py
@@ -186,7 +186,7 @@
             kind.name,
             time.time(),
         )
-        placement = Placement(
+        placement = RequestPolicy(
             organisation,
             kind,
             directory.class_of(organisation, kind),
--- a/src/jasminerelay/completions.py
+++ b/src/jasminerelay/completions.py
@@ -1,6 +1,6 @@
 """Starts and resumes the answers to model requests."""
 
-from jasminerelay.answerkit import Kit, Placement
+from jasminerelay.answercontext import AnswerContext, RequestPolicy
 from jasminerelay.answers import Answer
 from jasminerelay.errors import ResumeGoneError
 from jasminerelay.manifest import Directory
@@ -12,17 +12,17 @@
 class Completions:
     """Creates the answers to all model requests at one instance."""
 
-    def __init__(self, kit: Kit):
+    def __init__(self, kit: AnswerContext):
         self._context = kit
 
-    def start(self, request: ModelRequest, placement: Placement) -> Answer:
+    def start(self, request: ModelRequest, placement: RequestPolicy) -> Answer:
         """Returns the answer to a new request; iterate its `events`."""
         return Answer(self._context, request, placement)
 
     def resume(
         self,
         request: ModelRequest,
-        placement: Placement,
+        placement: RequestPolicy,
         point: ResumePoint,
         directory: Directory,
     ) -> ResumedAnswer:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -31,7 +31,7 @@
     settings,
     stopsignals,
 )
-from jasminerelay.answerkit import Kit
+from jasminerelay.answercontext import AnswerContext
 from jasminerelay.brokerhost import BrokerHost
 from jasminerelay.claimstore import ClaimStore
 from jasminerelay.completions import Completions
@@ -305,7 +305,7 @@
             cfg.bounds.max_outcome_bytes,
         )
         completions = Completions(
-            Kit(
+            AnswerContext(
                 self.permit_client,
                 backends.Engines(self._client),
                 signer,
--- a/src/jasminerelay/replies.py
+++ b/src/jasminerelay/replies.py
@@ -251,6 +251,6 @@
 
 def _encode_event(event: AnswerEvent) -> bytes:
     data = msgspec.json.encode(event.data)
-    if not event.point:
+    if not event.resume_point:
         return b"data: " + data + b"\n\n"
-    return b"id: %s\ndata: %s\n\n" % (event.point.encode(), data)
+    return b"id: %s\ndata: %s\n\n" % (event.resume_point.encode(), data)
--- a/src/jasminerelay/resumedanswers.py
+++ b/src/jasminerelay/resumedanswers.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncIterator
 from contextlib import aclosing
 
-from jasminerelay.answerkit import AnswerEvent, Kit, Placement
+from jasminerelay.answercontext import AnswerContext, AnswerEvent, RequestPolicy
 from jasminerelay.answers import Answer
 from jasminerelay.backends import Attempt, AttemptError
 from jasminerelay.errors import RAN_YES, BackendError, ResumeGoneError
@@ -19,9 +19,9 @@
 
     def __init__(
         self,
-        kit: Kit,
+        kit: AnswerContext,
         request: ModelRequest,
-        placement: Placement,
+        placement: RequestPolicy,
         point: ResumePoint,
         server: Server,
     ):
@@ -52,7 +52,7 @@
             self._context.timing.first_byte_timeout_s,
             self._context.timing.token_timeout_s,
         )
-        self._context.desk.take_over(held)
+        self._context.permit_client.take_over(held)
         self.outcome.waiting()
         self.outcome.dispatched()
         try:
@@ -72,7 +72,7 @@
                 f"the stream cannot be resumed: {exc}", ran=RAN_YES
             ) from exc
         finally:
-            self._context.desk.release(
+            self._context.permit_client.release(
                 Release(
                     held.ask_id,
                     cell,
@@ -83,7 +83,9 @@
             )
 
     def _cell_name(self) -> str:
-        directory_cells = self._context.desk.cells_of(self._placement.pool)
+        directory_cells = self._context.permit_client.cells_of(
+            self._placement.pool
+        )
         for cell in directory_cells:
             if any(
                 item.name == self._resume_point.server for item in cell.servers
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -59,7 +59,7 @@
             settle=lambda *taken: None,
             choose_cell=lambda *asked: cell(server("s")),
         )
-        kit = answers.Kit(
+        kit = answers.AnswerContext(
             desk,
             None,
             None,
@@ -76,7 +76,7 @@
         request = modelrequests.parse_request(
             modelrequests.TEXT_PATH, body, "digest"
         )
-        placement = answers.Placement(
+        placement = answers.RequestPolicy(
             Organisation("o", []),
             RequestType("t", "c", ["m"]),
             ServiceClass("c", 1, 1.0),
