--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -86,7 +86,7 @@
 UNREGISTER_TIMEOUT_S = 0.15
 """Time limit for removing the instance's row at a planned stop."""
 
-CURRENT_S = 1.8
+MAX_CONFIRMED_AGE_S = 1.8
 """Staleness of the tables' data up to which "not found" and "unknown key" are
 returned as final. A change must be in force two seconds after the store
 accepted it; the difference is left for messages in transit."""
@@ -156,11 +156,11 @@
         return catalog.version if catalog else 0
 
     @property
-    def peers_live(self) -> int:
+    def live_instance_count(self) -> int:
         """Number of instances that accept callers, this one included."""
         return len(self._peers.membership.live())
 
-    def meet(self, address: str) -> None:
+    def add_peer_address(self, address: str) -> None:
         """Adds an address at which another instance may be reachable."""
         self._peers.add_addresses({address})
 
@@ -384,7 +384,7 @@
         front = IngressContext(
             kit,
             lambda: self.registry.catalog if self.registry.complete else None,
-            lambda: self.current,
+            lambda: self.configuration_confirmed,
             lambda: self._planned_stop is not None,
             self._accepts,
             self.log,
@@ -470,14 +470,14 @@
         }
 
     @property
-    def current(self) -> bool:
+    def configuration_confirmed(self) -> bool:
         """Whether the configuration is confirmed to be the newest in force.
 
         An equal version at another instance does not confirm it, since both
         may be waiting for an unresponsive store. The time since the store last
         confirmed the version does, whichever instance it answered.
         """
-        if self._freshness.age_s(now_s()) > CURRENT_S:
+        if self._freshness.age_s(now_s()) > MAX_CONFIRMED_AGE_S:
             return False
         if self.registry.has_unreadable_configuration:
             return False
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -545,7 +545,7 @@
     Safeguard(
         "only data of a known age allows a final refusal",
         "platform/root",
-        "        if self._freshness.age_s(now_s()) > CURRENT_S:\n",
+        "        if self._freshness.age_s(now_s()) > MAX_CONFIRMED_AGE_S:\n",
         "        if False:\n",
         "test_platforminstances.StoreOutageTest"
         ".test_unknown_route_at_two_instances_without_store",
--- a/tests/test_crashingrequests.py
+++ b/tests/test_crashingrequests.py
@@ -56,7 +56,9 @@
         # Guards against retries that are taken for new requests and crash all
         # servers of a service.
         async with self.site(4) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 4 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 4 for x in instances)
+            )
             answers = []
             for number in range(REPEATS):
                 instance = instances[number % len(instances)]
@@ -89,7 +91,9 @@
         # Guards against innocent requests that stay blocked because they were
         # in flight when servers crashed.
         async with self.site(2) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 2 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 2 for x in instances)
+            )
             for number in range(5):
                 async with anyio.create_task_group() as group:
                     for innocent in range(6):
@@ -130,7 +134,9 @@
             unittest.mock.patch.object(crashwatch, "READ_INTERVAL_S", 0.1)
         )
         async with self.site(2) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 2 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 2 for x in instances)
+            )
             for number in range(4):
                 await self.send(instances[number % 2], number)
                 await anyio.sleep(RETRY_PAUSE_S)
@@ -167,7 +173,9 @@
         # Guards against an instance that resumes the stream at the next server
         # by itself and crashes that server, too.
         async with self.site(2) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 2 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 2 for x in instances)
+            )
             for number in range(6):
                 answer = await self.send(
                     instances[number % 2], number, FATAL, "100,9",
--- a/tests/test_namedlimits.py
+++ b/tests/test_namedlimits.py
@@ -77,7 +77,9 @@
         # Guards against a limit that is ignored, or that each instance applies
         # on its own.
         async with self.site(4) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 4 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 4 for x in instances)
+            )
             limited = [site.servers["engine-1"], site.servers["engine-2"]]
             for server in limited:
                 server.faults.limit = b"2.0"
@@ -92,7 +94,9 @@
     async def test_plain_servers(self) -> None:
         # Guards against limits that are enforced for model servers only.
         async with self.site(4) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 4 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 4 for x in instances)
+            )
             limited = site.servers["plain-1"]
             limited.faults.limit = b"2.0"
             await self.send_for(instances, PROPAGATION_S, "/lookup/x")
@@ -111,7 +115,9 @@
         # Guards against a server that gets so few requests that no response
         # shows the end of its limit.
         async with self.site(2) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 2 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 2 for x in instances)
+            )
             server = site.servers["plain-1"]
             server.faults.limit = b"0.4"
             await self.send_for(instances, PROPAGATION_S, "/lookup/x")
@@ -133,7 +139,9 @@
         # Guards against requests that are queued until their deadline, or are
         # refused although they have run.
         async with self.site(2) as (site, instances):
-            await self.until(lambda: all(x.peers_live == 2 for x in instances))
+            await self.until(
+                lambda: all(x.live_instance_count == 2 for x in instances)
+            )
             server = site.servers["plain-1"]
             server.faults.limit = b"2.0"
             await self.send_for(instances, PROPAGATION_S, "/lookup/x")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -79,7 +79,7 @@
     async def test_entries_and_readiness(self) -> None:
         async with self.site(2) as (site, instances):
             first = instances[0]
-            await self.until(lambda: first.peers_live == 2)
+            await self.until(lambda: first.live_instance_count == 2)
             url = f"http://{first.entries}/-/resolve?name={HOST}&zone=north"
             answer = await fetch(url)
             found = json.loads(answer.body)
--- a/tests/test_platforminstances.py
+++ b/tests/test_platforminstances.py
@@ -24,8 +24,8 @@
 
     async def disconnect_one(self, site, first, second) -> None:
         """Disconnects only the first of two instances from the store."""
-        await self.until(lambda: first.peers_live == 2)
-        await self.until(lambda: second.peers_live == 2)
+        await self.until(lambda: first.live_instance_count == 2)
+        await self.until(lambda: second.live_instance_count == 2)
         self.disconnect_from_store(first)
         # Long polls already open still deliver one change each.
         site.configure()
@@ -78,7 +78,7 @@
         # the instance must return "not ready".
         async with self.site() as (site, (instance,)):
             site.store.faults.down = True
-            await self.until(lambda: not instance.current)
+            await self.until(lambda: not instance.configuration_confirmed)
             answer = await self.ask(instance, "/new/x")
             self.assertEqual(answer.status, 503)
             wrong = await self.ask(instance, "/confirm/x", key="new")
@@ -89,7 +89,7 @@
         # version, which does not confirm that it is the newest: a caller of a
         # route just added got "not found".
         async with self.site(2) as (site, (first, second)):
-            await self.until(lambda: first.peers_live == 2)
+            await self.until(lambda: first.live_instance_count == 2)
             site.store.faults.down = True
             # Long polls already open still deliver one change each.
             site.configure()
@@ -100,7 +100,7 @@
                     )
                 )
             # Until then the store's last response counts as current.
-            await anyio.sleep(root.CURRENT_S)
+            await anyio.sleep(root.MAX_CONFIRMED_AGE_S)
             answer = await self.ask(first, "/new/x")
             self.assertEqual(answer.status, 503)
 
@@ -122,7 +122,7 @@
                 answer = await self.ask(second, "/confirm/x")
                 self.assertEqual(answer.status, 503)
                 self.assertIn("retry-after", answer.headers)
-                second.meet(first.boot.peers)
+                second.add_peer_address(first.boot.peers)
                 await self.until(lambda: second.ready)
                 answer = await self.ask(second, "/confirm/x")
                 self.assertEqual(answer.status, 200)
@@ -143,8 +143,8 @@
         # instance learns that another one lost the store, it must poll the
         # store itself at once.
         async with self.site(2) as (site, (first, second)):
-            await self.until(lambda: first.peers_live == 2)
-            await self.until(lambda: second.peers_live == 2)
+            await self.until(lambda: first.live_instance_count == 2)
+            await self.until(lambda: second.live_instance_count == 2)
             await anyio.sleep(MIN_RECHECK_AGE_S)
             site.store.faults.down = True
             site.links["edge-1"].reset()
@@ -182,8 +182,8 @@
         ):
             await anyio.sleep(3 * REGISTER_PAUSE_S)
             second = await self.start(group, site, "edge-2")
-            await self.until(lambda: first.peers_live == 2)
-            await self.until(lambda: second.peers_live == 2)
+            await self.until(lambda: first.live_instance_count == 2)
+            await self.until(lambda: second.live_instance_count == 2)
             group.cancel_scope.cancel()
 
     async def test_started_together(self) -> None:
@@ -197,7 +197,7 @@
                 await anyio.create_udp_socket(local_host="127.0.0.1") as other,
             ):
                 host, port = other.extra(SocketAttribute.local_address)
-                first.meet(f"{host}:{port}")
+                first.add_peer_address(f"{host}:{port}")
                 with anyio.fail_after(WAIT_S):
                     for _ in range(3):
                         await other.receive()
@@ -281,7 +281,7 @@
         # SIGTERM arrives in the middle of a stream. The instance must leave
         # the entry lists at once, finish the stream and then stop.
         async with self.site(2) as (site, (first, second)):
-            await self.until(lambda: second.peers_live == 2)
+            await self.until(lambda: second.live_instance_count == 2)
             answers = []
 
             async def ask() -> None:
@@ -299,7 +299,7 @@
             self.assertTrue(answers[0].whole)
             ready = await fetch(f"http://{first.readiness}/-/readyz")
             self.assertEqual(ready.status, 503)
-            await self.until(lambda: second.peers_live == 1)
+            await self.until(lambda: second.live_instance_count == 1)
             late = await self.ask(first, "/confirm/x")
             self.assertEqual(late.status, 200)
             self.assertEqual(late.headers["connection"], "close")
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -94,8 +94,8 @@
         # has changed" until it timed out, 11.5 s later. The store's count of
         # unanswered calls and the times of the log lines on its loss proved it.
         async with self.site(2) as (site, instances):
-            await self.until(lambda: instances[0].peers_live == 2)
-            await self.until(lambda: instances[1].peers_live == 2)
+            await self.until(lambda: instances[0].live_instance_count == 2)
+            await self.until(lambda: instances[1].live_instance_count == 2)
             await self.make_store_unresponsive(site, instances)
             site.store.faults.hang = False
             site.configure(added=[ADDED])
@@ -110,10 +110,10 @@
         # theirs has failed, so each considers the store reachable, and confirms
         # to the other the version that both have.
         async with self.site(2) as (site, instances):
-            await self.until(lambda: instances[0].peers_live == 2)
-            await self.until(lambda: instances[1].peers_live == 2)
+            await self.until(lambda: instances[0].live_instance_count == 2)
+            await self.until(lambda: instances[1].live_instance_count == 2)
             await self.make_store_unresponsive(site, instances)
-            await anyio.sleep(root.CURRENT_S)
+            await anyio.sleep(root.MAX_CONFIRMED_AGE_S)
             for instance in instances:
                 answer = await self.ask(instance, "/added/x")
                 self.assertEqual(answer.status, 503)
@@ -131,7 +131,7 @@
         async with self.site() as (site, (instance,)):
             await self.leave_next_call_unanswered(site, instance)
             for phase, count in (("draining", 1), ("ready", 2)) * 3:
-                await anyio.sleep(root.CURRENT_S / 4)
+                await anyio.sleep(root.MAX_CONFIRMED_AGE_S / 4)
                 site.register("engine-1", MODEL, phase)
                 await self.until(
                     lambda n=count: (
@@ -148,13 +148,13 @@
         # snapshot of the other instance does not arrive. Its data is recent
         # enough, yet it knows that a newer version exists.
         async with self.site(2) as (site, (first, second)):
-            await self.until(lambda: first.peers_live == 2)
-            await self.until(lambda: second.peers_live == 2)
+            await self.until(lambda: first.live_instance_count == 2)
+            await self.until(lambda: second.live_instance_count == 2)
             leave_unanswered(first, "snapshot")
             await self.leave_next_call_unanswered(site, first)
             site.configure(added=[ADDED])
             await self.until(lambda: second.version == site.version)
-            await self.until(lambda: not first.current)
+            await self.until(lambda: not first.configuration_confirmed)
             answer = await self.ask(first, "/added/x")
             self.assertEqual(answer.status, 503)
 
@@ -164,15 +164,15 @@
         # knows that it is not the newest: "not found" would be final for
         # callers of the route until the program is fixed.
         async with self.site() as (site, (instance,)):
-            await self.until(lambda: instance.current)
+            await self.until(lambda: instance.configuration_confirmed)
             site.store.put("op", "config", {"version": "none"})
-            await self.until(lambda: not instance.current)
+            await self.until(lambda: not instance.configuration_confirmed)
             answer = await self.ask(instance, "/added/x")
             self.assertEqual(answer.status, 503)
             answer = await self.ask(instance, "/confirm/x")
             self.assertEqual(answer.status, 200)
             site.configure(added=[ADDED])
-            await self.until(lambda: instance.current)
+            await self.until(lambda: instance.configuration_confirmed)
             answer = await self.ask(instance, "/added/x")
             self.assertEqual(answer.status, 200)
 
@@ -182,8 +182,8 @@
         # the other's message brings the change, and the reported age keeps
         # final refusals correct.
         async with self.site(2) as (site, (first, second)):
-            await self.until(lambda: first.peers_live == 2)
-            await self.until(lambda: second.peers_live == 2)
+            await self.until(lambda: first.live_instance_count == 2)
+            await self.until(lambda: second.live_instance_count == 2)
             leave_unanswered(first, "op")
             site.configure()
             await self.until(lambda: first.version == site.version)
@@ -192,7 +192,7 @@
             await self.until(lambda: first.version == site.version)
             answer = await self.ask(first, "/added/x")
             self.assertEqual(answer.status, 200)
-            await self.until(lambda: first.current)
+            await self.until(lambda: first.configuration_confirmed)
             answer = await self.ask(first, "/never/x")
             self.assertEqual(answer.status, 404)
 
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -20,7 +20,7 @@
 from jasminerelay.membership import ALIVE
 from jasminerelay.metrics import Counters
 from jasminerelay.peerstatus import PeerStatusTable
-from jasminerelay.platform.root import CURRENT_S
+from jasminerelay.platform.root import MAX_CONFIRMED_AGE_S
 from jasminerelay.platform.storeclient import CALL_TIMEOUT_S
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import Member, ServerRow
@@ -215,7 +215,7 @@
     @property
     def current(self) -> bool:
         """Whether the instance may give final refusals."""
-        is_recent = self.freshness.age_s(now()) <= CURRENT_S
+        is_recent = self.freshness.age_s(now()) <= MAX_CONFIRMED_AGE_S
         return is_recent and not self.standings.newer_configuration_reported(
             now()
         )
@@ -482,7 +482,7 @@
             # checked above.
             self._test.assertLessEqual(
                 node.freshness.age_s(now()),
-                CURRENT_S,
+                MAX_CONFIRMED_AGE_S,
                 f"at {now():.2f} s {node.name} lacks confirmation of its data",
             )
         if node.current:
