--- a/src/jasminerelay/answercontext.py
+++ b/src/jasminerelay/answercontext.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from jasminerelay import burn
-from jasminerelay.backends import Engines
+from jasminerelay.backends import EngineClient
 from jasminerelay.estimate import Estimator
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.permitclient import PermitClient
@@ -73,7 +73,7 @@
     """
 
     permit_client: PermitClient
-    engines: Engines
+    engines: EngineClient
     signer: Signer
     burn_recorder: burn.Book
     counters: Counters
--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -13,10 +13,10 @@
 from jasminerelay import burn
 from jasminerelay.answercontext import AnswerContext, AnswerEvent, RequestPolicy
 from jasminerelay.backends import (
-    Attempt,
     AttemptError,
     Chunk,
-    Proof,
+    EngineAttempt,
+    ExecutionStatus,
 )
 from jasminerelay.errors import (
     RAN_UNKNOWN,
@@ -184,7 +184,10 @@
         return result
 
     async def _events_with_resumes(
-        self, attempt: Attempt, chunks: AsyncIterator[Chunk], base_tokens: int
+        self,
+        attempt: EngineAttempt,
+        chunks: AsyncIterator[Chunk],
+        base_tokens: int,
     ) -> AsyncIterator[AnswerEvent]:
         """Yields an attempt's events, resuming the stream when it breaks.
 
@@ -205,7 +208,7 @@
             except AttemptError as exc:
                 can_resume = (
                     attempt.server.resume
-                    and exc.proof is Proof.MAY_HAVE_RUN
+                    and exc.execution_status is ExecutionStatus.MAY_HAVE_RUN
                     and number < MAX_RESUMES
                 )
                 if not can_resume:
@@ -271,12 +274,12 @@
         self, error: AttemptError, server: Server, failures: int
     ) -> None:
         """Returns if the request may be retried, else raises."""
-        self._context.counters.incr(f"attempt.{error.proof.value}")
+        self._context.counters.incr(f"attempt.{error.execution_status.value}")
         if error.leaving:
             self._context.on_leaving(server.name)
-        if error.proof is Proof.NOT_RUN:
+        if error.execution_status is ExecutionStatus.NOT_RUN:
             self.outcome.refused()
-        if error.rejected is not None:
+        if error.rejection is not None:
             raise _rejection_error(error)
         may_retry = self._context.retries.spend()
         if failures >= MAX_ATTEMPTS or not may_retry:
@@ -453,7 +456,7 @@
                 return server
         raise BackendError(f"permit names unknown backend server {name!r}")
 
-    def _new_attempt(self, server: Server) -> Attempt:
+    def _new_attempt(self, server: Server) -> EngineAttempt:
         body = dict(self._request.body)
         body["stream"] = True
         body["stream_options"] = {"include_usage": True}
@@ -465,7 +468,7 @@
             body["priority"] = self._placement.service_class.rank
         if self._delivered_tokens:
             _continue_from(body, self._request.path, self._text)
-        return Attempt(
+        return EngineAttempt(
             _new_id(),
             server,
             self._request.path,
@@ -474,7 +477,7 @@
             self._context.timing.token_timeout_s,
         )
 
-    def _resume_token(self, attempt: Attempt, base_tokens: int) -> str:
+    def _resume_token(self, attempt: EngineAttempt, base_tokens: int) -> str:
         return self._context.signer.signed_prefix(
             ResumePoint(
                 self._placement.organisation.name,
@@ -558,8 +561,8 @@
 
 def _rejection_error(error: AttemptError) -> BadRequestError:
     try:
-        body = msgspec.json.decode(error.rejected.body)
+        body = msgspec.json.decode(error.rejection.body)
         message = str(body["error"]["message"])
     except (msgspec.MsgspecError, KeyError, TypeError):
-        message = f"status {error.rejected.status}"
+        message = f"status {error.rejection.status}"
     return BadRequestError(f"the model engine rejected the request: {message}")
--- a/src/jasminerelay/backends.py
+++ b/src/jasminerelay/backends.py
@@ -28,7 +28,7 @@
 CANCEL_TIMEOUT_S = 2.0
 
 
-class Proof(enum.Enum):
+class ExecutionStatus(enum.Enum):
     """Whether the server may have executed a failed attempt."""
 
     NOT_RUN = "not_run"
@@ -39,23 +39,23 @@
     """An attempt at a backend server ended without a complete response.
 
     Attributes:
-        proof: Whether the attempt provably did not run.
+        execution_status: Whether the attempt provably did not run.
         leaving: Whether the response carried the header of a leaving server.
-        rejected: The response, if the server rejected the request as invalid.
+        rejection: The response, if the server rejected the request as invalid.
     """
 
     def __init__(
         self,
         message: str,
-        proof: Proof,
+        proof: ExecutionStatus,
         *,
         leaving: bool = False,
         rejected: Reply | None = None,
     ):
         super().__init__(message)
-        self.proof = proof
+        self.execution_status = proof
         self.leaving = leaving
-        self.rejected = rejected
+        self.rejection = rejected
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Attempt:
+class EngineAttempt:
     """One dispatch of a model request.
 
     Attributes:
@@ -92,13 +92,13 @@
     idle_timeout_s: float
 
 
-class Engines:
+class EngineClient:
     """Client of the model engines; starts, resumes and cancels streams."""
 
     def __init__(self, client: Client):
         self._client = client
 
-    def run(self, attempt: Attempt) -> AsyncIterator[Chunk]:
+    def run(self, attempt: EngineAttempt) -> AsyncIterator[Chunk]:
         """Starts an attempt and yields its frames."""
         exchange = Exchange(
             "POST",
@@ -109,7 +109,9 @@
         )
         return self._frames(exchange, attempt, 0)
 
-    def resume(self, attempt: Attempt, offset: int) -> AsyncIterator[Chunk]:
+    def resume(
+        self, attempt: EngineAttempt, offset: int
+    ) -> AsyncIterator[Chunk]:
         """Yields the frames of an interrupted attempt after an offset.
 
         Every error is raised as MAY_HAVE_RUN: a refused resume does not show
@@ -132,7 +134,7 @@
             return
 
     async def _frames(
-        self, exchange: Exchange, attempt: Attempt, offset: int
+        self, exchange: Exchange, attempt: EngineAttempt, offset: int
     ) -> AsyncIterator[Chunk]:
         try:
             async with self._client.stream(exchange) as response:
@@ -157,13 +159,15 @@
                 finally:
                     connection.read_limit_s = None
         except NotSentError as exc:
-            raise AttemptError(str(exc), Proof.NOT_RUN) from exc
+            raise AttemptError(str(exc), ExecutionStatus.NOT_RUN) from exc
         except (BrokenError, ValueError, msgspec.MsgspecError) as exc:
-            raise AttemptError(str(exc), Proof.MAY_HAVE_RUN) from exc
-        raise AttemptError("the stream ended before [DONE]", Proof.MAY_HAVE_RUN)
+            raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc
+        raise AttemptError(
+            "the stream ended before [DONE]", ExecutionStatus.MAY_HAVE_RUN
+        )
 
 
-class Services:
+class ServiceClient:
     """Client of the servers of plain services."""
 
     def __init__(self, client: Client):
@@ -184,15 +188,15 @@
         try:
             reply = await self._client.call(full)
         except NotSentError as exc:
-            raise AttemptError(str(exc), Proof.NOT_RUN) from exc
+            raise AttemptError(str(exc), ExecutionStatus.NOT_RUN) from exc
         except BrokenError as exc:
-            raise AttemptError(str(exc), Proof.MAY_HAVE_RUN) from exc
+            raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc
         if NOT_RUN_HEADER in reply.headers:
             raise _refusal_error(reply)
         return reply
 
 
-async def read_load(
+async def fetch_load_report(
     client: Client, server: Server, timeout_s: float
 ) -> LoadReport | None:
     """Fetches a server's load report; None if that fails."""
@@ -212,10 +216,10 @@
             async for chunk in frames:
                 yield chunk
     except AttemptError as exc:
-        raise AttemptError(str(exc), Proof.MAY_HAVE_RUN) from exc
+        raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc
 
 
-async def read_cache_events(
+async def fetch_cache_events(
     client: Client, server: Server, after: int, timeout_s: float
 ) -> list[CacheEvent]:
     """Fetches the cache events after a sequence number; [] on failure."""
@@ -240,10 +244,10 @@
     leaving = LEAVING_HEADER in reply.headers
     message = f"HTTP status {reply.status}"
     if NOT_RUN_HEADER in reply.headers:
-        return AttemptError(message, Proof.NOT_RUN, leaving=leaving)
+        return AttemptError(message, ExecutionStatus.NOT_RUN, leaving=leaving)
     if 400 <= reply.status < 500 and reply.status not in (408, 429):
-        return AttemptError(message, Proof.NOT_RUN, rejected=reply)
-    return AttemptError(message, Proof.MAY_HAVE_RUN, leaving=leaving)
+        return AttemptError(message, ExecutionStatus.NOT_RUN, rejection=reply)
+    return AttemptError(message, ExecutionStatus.MAY_HAVE_RUN, leaving=leaving)
 
 
 def _parse_chunk(event: sse.Event, attempt_id: str) -> Chunk | None:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -307,7 +307,7 @@
         completions = Completions(
             AnswerContext(
                 self.permit_client,
-                backends.Engines(self._client),
+                backends.EngineClient(self._client),
                 signer,
                 self.burn_recorder,
                 self.counters,
@@ -321,7 +321,7 @@
         )
         services = ServiceCalls(
             self.permit_client,
-            backends.Services(self._client),
+            backends.ServiceClient(self._client),
             self._claim_store,
             self.burn_recorder,
             self.counters,
--- a/src/jasminerelay/loadpoller.py
+++ b/src/jasminerelay/loadpoller.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from jasminerelay.backends import read_cache_events, read_load
+from jasminerelay.backends import fetch_cache_events, fetch_load_report
 from jasminerelay.httpclient import Client
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.manifest import Server
@@ -55,7 +55,7 @@
 
     async def poll(self, server: Server) -> None:
         """Polls one server once."""
-        report = await read_load(self._client, server, self._interval_s)
+        report = await fetch_load_report(self._client, server, self._interval_s)
         if report is None:
             self._counters.incr("load.silent")
             return
@@ -66,7 +66,7 @@
 
     async def _poll_cache_events(self, server: Server) -> None:
         after = self._last_sequences.get(server.name, -1)
-        events = await read_cache_events(
+        events = await fetch_cache_events(
             self._client, server, after, self._interval_s
         )
         if events:
--- a/src/jasminerelay/resumedanswers.py
+++ b/src/jasminerelay/resumedanswers.py
@@ -6,7 +6,7 @@
 
 from jasminerelay.answercontext import AnswerContext, AnswerEvent, RequestPolicy
 from jasminerelay.answers import Answer
-from jasminerelay.backends import Attempt, AttemptError
+from jasminerelay.backends import AttemptError, EngineAttempt
 from jasminerelay.errors import RAN_YES, BackendError, ResumeGoneError
 from jasminerelay.modelrequests import ModelRequest
 from jasminerelay.resume import ResumePoint
@@ -44,7 +44,7 @@
             self._placement.service_class.rank,
             False,
         )
-        attempt = Attempt(
+        attempt = EngineAttempt(
             point.attempt,
             self._stream_server,
             self._request.path,
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -8,7 +8,7 @@
 import anyio
 
 from jasminerelay import burn, claims
-from jasminerelay.backends import AttemptError, Proof, Services
+from jasminerelay.backends import AttemptError, ExecutionStatus, ServiceClient
 from jasminerelay.claimstore import AcquiredClaim, ClaimStore, RecordedAnswer
 from jasminerelay.errors import (
     RAN_UNKNOWN,
@@ -79,7 +79,7 @@
     def __init__(
         self,
         desk: PermitClient,
-        services: Services,
+        services: ServiceClient,
         claim_desk: ClaimStore,
         book: burn.Book,
         counters: Counters,
@@ -254,10 +254,10 @@
         avoid: list[str],
     ) -> None:
         """Returns if the call may be retried, else raises."""
-        self._counters.incr(f"attempt.{error.proof.value}")
+        self._counters.incr(f"attempt.{error.execution_status.value}")
         if error.leaving:
             self._on_leaving(server.name)
-        if error.proof is Proof.NOT_RUN:
+        if error.execution_status is ExecutionStatus.NOT_RUN:
             outcome.refused()
         elif not _may_repeat(request, server):
             if acquired is not None:
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -48,9 +48,9 @@
     Safeguard(
         "a failed resume does not prove that the request has not run",
         "backends",
-        "raise AttemptError(str(exc), Proof.MAY_HAVE_RUN) from exc\n\n\n"
-        "async def read_cache_events",
-        "raise\n\n\nasync def read_cache_events",
+        "raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc\n\n\n"
+        "async def fetch_cache_events",
+        "raise\n\n\nasync def fetch_cache_events",
         "test_streams.BrokenStreamTest"
         ".test_continues_on_another_engine_if_resume_is_refused",
     ),
@@ -66,9 +66,9 @@
         "a lost answer does not prove that the request has not run",
         "backends",
         "except BrokenError as exc:\n"
-        "            raise AttemptError(str(exc), Proof.MAY_HAVE_RUN)",
+        "            raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN)",
         "except BrokenError as exc:\n"
-        "            raise AttemptError(str(exc), Proof.NOT_RUN)",
+        "            raise AttemptError(str(exc), ExecutionStatus.NOT_RUN)",
         "test_atmostonce.AtMostOnceTest.test_answer_lost",
     ),
     Safeguard(
