--- a/bench/claims.py
+++ b/bench/claims.py
@@ -13,7 +13,7 @@
 from bench import figures
 from jasminerelay.claimstore import AcquiredClaim, ClaimStore
 from jasminerelay.errors import StoreError
-from jasminerelay.httpclient import Client
+from jasminerelay.httpclient import HttpClient
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.settings import Platform, Statsd
 from jasminerelay.store import Objects, Table
@@ -70,7 +70,7 @@
 async def _measure_claims(
     urls: dict[str, str], callers: int, seconds: float, latencies: list[float]
 ) -> int:
-    client = Client(Watchdog())
+    client = HttpClient(Watchdog())
     platform = Platform(**urls)
     desk = ClaimStore(
         Table(client, platform, 2.0),
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -28,7 +28,11 @@
     Sink,
     Unknown,
 )
-from jasminerelay.httpclient import BrokenError, NotSentError, body_chunks
+from jasminerelay.httpclient import (
+    IncompleteExchangeError,
+    NotSentError,
+    body_chunks,
+)
 from jasminerelay.limitwatch import LimitWatch
 from jasminerelay.metrics import Counters
 from jasminerelay.placementqueue import RequestPlacer, Reservation
@@ -199,7 +203,7 @@
         except AnswerTimeoutError as exc:
             self._report_lost()
             return Unknown(f"timed out: {exc}")
-        except BrokenError as exc:
+        except IncompleteExchangeError as exc:
             self._report_lost()
             return Unknown(str(exc))
         self._kit.dispatcher.record_response(server.id, time.monotonic())
@@ -311,7 +315,7 @@
                     progress.pause_s = max(progress.pause_s, timer.pause_s)
                     progress.first_at = progress.first_at or timer.first_at
                     await self._send_events(head, events)
-        except (BrokenError, ValueError) as exc:
+        except (IncompleteExchangeError, ValueError) as exc:
             return Interrupted(str(exc))
         if splitter.torn:
             return Interrupted("the stream ended within an event")
--- a/src/jasminerelay/backends.py
+++ b/src/jasminerelay/backends.py
@@ -10,11 +10,11 @@
 
 from jasminerelay import sse
 from jasminerelay.httpclient import (
-    BrokenError,
-    Client,
-    Exchange,
+    HttpClient,
+    HttpRequest,
+    HttpResponse,
+    IncompleteExchangeError,
     NotSentError,
-    Reply,
     body_chunks,
     response_headers,
 )
@@ -50,7 +50,7 @@
         proof: ExecutionStatus,
         *,
         leaving: bool = False,
-        rejected: Reply | None = None,
+        rejected: HttpResponse | None = None,
     ):
         super().__init__(message)
         self.execution_status = proof
@@ -95,12 +95,12 @@
 class EngineClient:
     """Client of the model engines; starts, resumes and cancels streams."""
 
-    def __init__(self, client: Client):
+    def __init__(self, client: HttpClient):
         self._client = client
 
     def run(self, attempt: EngineAttempt) -> AsyncIterator[Chunk]:
         """Starts an attempt and yields its frames."""
-        exchange = Exchange(
+        exchange = HttpRequest(
             "POST",
             _url(attempt.server, attempt.path),
             {"content-type": "application/json", ATTEMPT_HEADER: attempt.id},
@@ -118,7 +118,7 @@
         that the attempt, which ran before, did not run.
         """
         url = _url(attempt.server, f"/v1/streams/{attempt.id}?from={offset}")
-        exchange = Exchange("GET", url, timeout_s=attempt.first_s)
+        exchange = HttpRequest("GET", url, timeout_s=attempt.first_s)
         return _with_errors_as_may_have_run(
             self._frames(exchange, attempt, offset)
         )
@@ -126,21 +126,21 @@
     async def cancel(self, server: Server, attempt_id: str) -> None:
         """Cancels an attempt, so that the engine frees its slot."""
         url = _url(server, f"/v1/streams/{attempt_id}")
-        exchange = Exchange("DELETE", url, timeout_s=CANCEL_TIMEOUT_S)
+        exchange = HttpRequest("DELETE", url, timeout_s=CANCEL_TIMEOUT_S)
         try:
             await self._client.call(exchange)
-        except (NotSentError, BrokenError):
+        except (NotSentError, IncompleteExchangeError):
             # The engine itself discards a stream that is not resumed.
             return
 
     async def _frames(
-        self, exchange: Exchange, attempt: EngineAttempt, offset: int
+        self, exchange: HttpRequest, attempt: EngineAttempt, offset: int
     ) -> AsyncIterator[Chunk]:
         try:
             async with self._client.stream(exchange) as response:
                 if response.status != 200:
                     body = await response.aread()
-                    reply = Reply(
+                    reply = HttpResponse(
                         response.status, response_headers(response), body
                     )
                     raise _refusal_error(reply)
@@ -160,7 +160,11 @@
                     connection.read_limit_s = None
         except NotSentError as exc:
             raise AttemptError(str(exc), ExecutionStatus.NOT_RUN) from exc
-        except (BrokenError, ValueError, msgspec.MsgspecError) as exc:
+        except (
+            IncompleteExchangeError,
+            ValueError,
+            msgspec.MsgspecError,
+        ) as exc:
             raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc
         raise AttemptError(
             "the stream ended before [DONE]", ExecutionStatus.MAY_HAVE_RUN
@@ -170,10 +174,10 @@
 class ServiceClient:
     """Client of the servers of plain services."""
 
-    def __init__(self, client: Client):
+    def __init__(self, client: HttpClient):
         self._client = client
 
-    async def call(self, server: Server, exchange: Exchange) -> Reply:
+    async def call(self, server: Server, exchange: HttpRequest) -> HttpResponse:
         """Sends a call and returns the response.
 
         Args:
@@ -189,7 +193,7 @@
             reply = await self._client.call(full)
         except NotSentError as exc:
             raise AttemptError(str(exc), ExecutionStatus.NOT_RUN) from exc
-        except BrokenError as exc:
+        except IncompleteExchangeError as exc:
             raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc
         if NOT_RUN_HEADER in reply.headers:
             raise _refusal_error(reply)
@@ -197,14 +201,14 @@
 
 
 async def fetch_load_report(
-    client: Client, server: Server, timeout_s: float
+    client: HttpClient, server: Server, timeout_s: float
 ) -> LoadReport | None:
     """Fetches a server's load report; None if that fails."""
-    exchange = Exchange("GET", _url(server, "/load"), timeout_s=timeout_s)
+    exchange = HttpRequest("GET", _url(server, "/load"), timeout_s=timeout_s)
     try:
         reply = await client.call(exchange)
         return msgspec.json.decode(reply.body, type=LoadReport)
-    except (NotSentError, BrokenError, msgspec.MsgspecError):
+    except (NotSentError, IncompleteExchangeError, msgspec.MsgspecError):
         return None
 
 
@@ -220,14 +224,14 @@
 
 
 async def fetch_cache_events(
-    client: Client, server: Server, after: int, timeout_s: float
+    client: HttpClient, server: Server, after: int, timeout_s: float
 ) -> list[CacheEvent]:
     """Fetches the cache events after a sequence number; [] on failure."""
     url = _url(server, f"/cache_events?after={after}")
     try:
-        reply = await client.call(Exchange("GET", url, timeout_s=timeout_s))
+        reply = await client.call(HttpRequest("GET", url, timeout_s=timeout_s))
         return msgspec.json.decode(reply.body, type=_CacheEventsReply).events
-    except (NotSentError, BrokenError, msgspec.MsgspecError):
+    except (NotSentError, IncompleteExchangeError, msgspec.MsgspecError):
         return []
 
 
@@ -240,7 +244,7 @@
     return f"http://{server.address}{path}"
 
 
-def _refusal_error(reply: Reply) -> AttemptError:
+def _refusal_error(reply: HttpResponse) -> AttemptError:
     leaving = LEAVING_HEADER in reply.headers
     message = f"HTTP status {reply.status}"
     if NOT_RUN_HEADER in reply.headers:
--- a/src/jasminerelay/channels.py
+++ b/src/jasminerelay/channels.py
@@ -7,7 +7,11 @@
 import httpcore
 
 from jasminerelay.catalog import BackendServer
-from jasminerelay.httpclient import CONNECT_S, BrokenError, NotSentError
+from jasminerelay.httpclient import (
+    CONNECT_TIMEOUT_S,
+    IncompleteExchangeError,
+    NotSentError,
+)
 from jasminerelay.netstream import WatchedBackend, WatchedStream
 from jasminerelay.watchdog import Watchdog
 
@@ -81,7 +85,7 @@
         try:
             return await self._conn.handle_async_request(request)
         except (httpcore.NetworkError, httpcore.ProtocolError) as exc:
-            raise BrokenError(repr(exc)) from exc
+            raise IncompleteExchangeError(repr(exc)) from exc
         except httpcore.TimeoutException as exc:
             raise AnswerTimeoutError(repr(exc)) from exc
 
@@ -95,7 +99,7 @@
         await self._conn.aclose()
 
 
-class AnswerTimeoutError(BrokenError):
+class AnswerTimeoutError(IncompleteExchangeError):
     """The server's answer timed out; the request may have run."""
 
 
@@ -167,7 +171,7 @@
         host, _, port = server.address.rpartition(":")
         try:
             stream = await self._backend.connect_tcp(
-                host, int(port), timeout=CONNECT_S
+                host, int(port), timeout=CONNECT_TIMEOUT_S
             )
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as exc:
             raise NotSentError(repr(exc)) from exc
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -37,7 +37,7 @@
 from jasminerelay.completions import Completions
 from jasminerelay.errors import StoreError
 from jasminerelay.estimate import Estimator
-from jasminerelay.httpclient import Client
+from jasminerelay.httpclient import HttpClient
 from jasminerelay.loadpoller import LoadPoller
 from jasminerelay.manifest import Directory
 from jasminerelay.manifests import ManifestKeeper
@@ -105,10 +105,10 @@
         self.counters = Counters(cfg.statsd)
         self._invariants = Invariants(self.counters, fatal=cfg.fatal_invariants)
         self._watchdog = Watchdog()
-        self._client = Client(self._watchdog)
+        self._client = HttpClient(self._watchdog)
         # Load reports have a connection pool of their own, so that a pool
         # exhausted by streams does not delay the reports that routing needs.
-        self._probe_client = Client(self._watchdog)
+        self._probe_client = HttpClient(self._watchdog)
         self._group: anyio.abc.TaskGroup | None = None
         self._draining = False
         self._drain_requested = anyio.Event()
--- a/src/jasminerelay/evacuation.py
+++ b/src/jasminerelay/evacuation.py
@@ -15,11 +15,11 @@
 from jasminerelay.catalog import BackendServer, Call
 from jasminerelay.eventlog import EventLog
 from jasminerelay.httpclient import (
-    BrokenError,
-    Client,
-    Exchange,
+    HttpClient,
+    HttpRequest,
+    HttpResponse,
+    IncompleteExchangeError,
     NotSentError,
-    Reply,
 )
 from jasminerelay.metrics import Counters
 
@@ -57,11 +57,11 @@
 
     def move(
         self, call: Call, source: BackendServer, target: BackendServer
-    ) -> Exchange:
+    ) -> HttpRequest:
         """Returns the order to stop a run and copy its KV cache."""
 
     def moved(
-        self, reply: Reply, source: BackendServer, target: BackendServer
+        self, reply: HttpResponse, source: BackendServer, target: BackendServer
     ) -> Copy | None:
         """Reads the reply; None if the run continues on its server."""
 
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        client: Client,
+        client: HttpClient,
         dialect: MoveDialect,
         counters: Counters,
         log: EventLog,
@@ -116,7 +116,7 @@
                 reply = await self._client.call(
                     self._dialect.move(call, source, target)
                 )
-            except (NotSentError, BrokenError) as exc:
+            except (NotSentError, IncompleteExchangeError) as exc:
                 self._counters.incr("stream.move_failed")
                 self._log.trouble(
                     "move_failed", id=call.id, server=source.id, why=str(exc)
--- a/src/jasminerelay/httpclient.py
+++ b/src/jasminerelay/httpclient.py
@@ -12,19 +12,19 @@
 MAX_CONNECTIONS = 1000
 MAX_IDLE_CONNECTIONS = 100
 KEEPALIVE_EXPIRY_S = 20.0
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 
 
 class NotSentError(Exception):
     """No byte of the request was sent; it provably was not executed."""
 
 
-class BrokenError(Exception):
+class IncompleteExchangeError(Exception):
     """The exchange failed after bytes were sent; it may have been executed."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Reply:
+class HttpResponse:
     """A complete response.
 
     Attributes:
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Exchange:
+class HttpRequest:
     """A request to send, and how to send it.
 
     Attributes:
@@ -48,7 +48,7 @@
         headers: Header fields.
         body: Body.
         timeout_s: Time limit for each read and each write.
-        fresh: Whether to open a new connection. The server may already have
+        new_connection: Whether to open a new connection. The server may already have
             closed a pooled one, which looks the same as a crash after it
             received the request; a new connection distinguishes the two.
     """
@@ -58,10 +58,10 @@
     headers: Mapping[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b""
     timeout_s: float = 10.0
-    fresh: bool = False
+    new_connection: bool = False
 
 
-class Client:
+class HttpClient:
     """HTTP client with a bounded connection pool, shared by all servers."""
 
     def __init__(self, watchdog: Watchdog, *, keepalive: bool = False):
@@ -83,7 +83,7 @@
         """Closes all connections."""
         await self._pool.aclose()
 
-    async def call(self, exchange: Exchange) -> Reply:
+    async def call(self, exchange: HttpRequest) -> HttpResponse:
         """Sends a request and reads the complete response.
 
         Raises:
@@ -94,12 +94,14 @@
             try:
                 body = await response.aread()
             except _BROKEN_ERRORS as exc:
-                raise BrokenError(repr(exc)) from exc
-            return Reply(response.status, response_headers(response), body)
+                raise IncompleteExchangeError(repr(exc)) from exc
+            return HttpResponse(
+                response.status, response_headers(response), body
+            )
 
     @asynccontextmanager
     async def stream(
-        self, exchange: Exchange
+        self, exchange: HttpRequest
     ) -> AsyncIterator[httpcore.Response]:
         """Sends a request and yields the response before its body is read.
 
@@ -110,16 +112,16 @@
         headers = [(key, value) for key, value in exchange.headers.items()]
         if exchange.body or exchange.method in ("POST", "PUT", "PATCH"):
             headers.append(("content-length", str(len(exchange.body))))
-        if exchange.fresh:
+        if exchange.new_connection:
             headers.append(("connection", "close"))
         timeout = {
-            "connect": CONNECT_S,
-            "pool": CONNECT_S,
+            "connect": CONNECT_TIMEOUT_S,
+            "pool": CONNECT_TIMEOUT_S,
             "read": exchange.timeout_s,
             "write": exchange.timeout_s,
         }
         pool = self._pool
-        if exchange.fresh:
+        if exchange.new_connection:
             pool = httpcore.AsyncConnectionPool(
                 network_backend=self._network_backend
             )
@@ -136,13 +138,13 @@
             except _NOT_SENT_ERRORS as exc:
                 raise NotSentError(repr(exc)) from exc
             except _BROKEN_ERRORS as exc:
-                raise BrokenError(repr(exc)) from exc
+                raise IncompleteExchangeError(repr(exc)) from exc
             try:
                 yield response
             finally:
                 await manager.__aexit__(None, None, None)
         finally:
-            if exchange.fresh:
+            if exchange.new_connection:
                 await pool.aclose()
 
 
@@ -164,7 +166,7 @@
         async for chunk in response.aiter_stream():
             yield chunk
     except _BROKEN_ERRORS as exc:
-        raise BrokenError(repr(exc)) from exc
+        raise IncompleteExchangeError(repr(exc)) from exc
 
 
 _NOT_SENT_ERRORS = (
--- a/src/jasminerelay/loadpoller.py
+++ b/src/jasminerelay/loadpoller.py
@@ -6,7 +6,7 @@
 import anyio
 
 from jasminerelay.backends import fetch_cache_events, fetch_load_report
-from jasminerelay.httpclient import Client
+from jasminerelay.httpclient import HttpClient
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.manifest import Server
 from jasminerelay.schema.messages import CacheEvent, LoadReport
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        client: Client,
+        client: HttpClient,
         servers: Callable[[], Iterable[Server]],
         load_subscriber: LoadSubscriber,
         cache_event_subscriber: CacheEventSubscriber,
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -24,9 +24,9 @@
 from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness, now_s
 from jasminerelay.httpclient import (
-    BrokenError,
-    Client,
-    Exchange,
+    HttpClient,
+    HttpRequest,
+    IncompleteExchangeError,
     NotSentError,
 )
 from jasminerelay.membership import ALIVE, LEAVING, Membership, Send
@@ -115,7 +115,7 @@
         registry: Registry,
         freshness: Freshness,
         dispatcher: Dispatcher,
-        client: Client,
+        client: HttpClient,
         counters: Counters,
         log: EventLog,
         rng: random.Random,
@@ -429,7 +429,7 @@
         if address is None:
             return
         version = self._registry.standing.configuration_version
-        exchange = Exchange(
+        exchange = HttpRequest(
             "GET",
             f"http://{address}{SNAPSHOT_PATH}?{CONFIGURATION_FIELD}={version}"
             f"&{SERVERS_FIELD}={self._registry.delta_base_version}",
@@ -440,7 +440,7 @@
             snapshot = decompressed(_decode_snapshot(reply.body))
         except (
             NotSentError,
-            BrokenError,
+            IncompleteExchangeError,
             msgspec.MsgspecError,
             zlib.error,
         ) as exc:
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -18,9 +18,9 @@
 from jasminerelay.errors import StoreError
 from jasminerelay.fencing import Lease, LeaseRow
 from jasminerelay.httpclient import (
-    BrokenError,
-    Client,
-    Exchange,
+    HttpClient,
+    HttpRequest,
+    IncompleteExchangeError,
     NotSentError,
 )
 from jasminerelay.leasing import LeaseKeeper
@@ -95,7 +95,7 @@
         live: Callable[[], list[Member]],
         directory: Callable[[], Directory | None],
         table: Table,
-        client: Client,
+        client: HttpClient,
         cfg: Timing,
         counters: Counters,
     ):
@@ -165,11 +165,11 @@
         self, server: Server, placement: Placement
     ) -> bool:
         url = f"http://{server.address}/v1/state"
-        exchange = Exchange("GET", url, timeout_s=self._cfg.order_timeout_s)
+        exchange = HttpRequest("GET", url, timeout_s=self._cfg.order_timeout_s)
         try:
             reply = await self._client.call(exchange)
             loaded = msgspec.json.decode(reply.body, type=_StateReply).state
-        except (NotSentError, BrokenError, msgspec.MsgspecError):
+        except (NotSentError, IncompleteExchangeError, msgspec.MsgspecError):
             self._counters.incr("placement.unreadable")
             return False
         return _desired_state(placement) != msgspec.to_builtins(loaded)
@@ -183,7 +183,7 @@
             self._counters.incr("placement.too_late")
             return
         body = {"fence": self._lease.fence, "state": _desired_state(placement)}
-        exchange = Exchange(
+        exchange = HttpRequest(
             "POST",
             f"http://{server.address}/v1/orders",
             {"content-type": "application/json"},
@@ -192,7 +192,7 @@
         )
         try:
             reply = await self._client.call(exchange)
-        except (NotSentError, BrokenError):
+        except (NotSentError, IncompleteExchangeError):
             self._counters.incr("placement.order_failed")
             return
         if reply.status == 409:
--- a/src/jasminerelay/platform/dutyapi.py
+++ b/src/jasminerelay/platform/dutyapi.py
@@ -10,9 +10,9 @@
 from jasminerelay.dutycalls import CallResult
 from jasminerelay.eventlog import EventLog
 from jasminerelay.httpclient import (
-    BrokenError,
-    Client,
-    Exchange,
+    HttpClient,
+    HttpRequest,
+    IncompleteExchangeError,
     NotSentError,
 )
 from jasminerelay.scaling import Order
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        client: Client,
+        client: HttpClient,
         address: str,
         name: str,
         timeout_s: float,
@@ -74,7 +74,7 @@
         return await self._post("/scale", body, fence)
 
     async def _post(self, path: str, body: Any, fence: int) -> CallResult:
-        exchange = Exchange(
+        exchange = HttpRequest(
             "POST",
             f"{self._base}{path}",
             {
@@ -90,7 +90,7 @@
         except NotSentError as exc:
             self._log.trouble("duty_call", path=path, why=str(exc))
             return CallResult.UNAVAILABLE
-        except BrokenError as exc:
+        except IncompleteExchangeError as exc:
             self._log.trouble("duty_call", path=path, why=str(exc))
             return CallResult.NO_ANSWER
         if reply.status != OK:
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -8,7 +8,7 @@
 from jasminerelay.eventlog import EventLog
 from jasminerelay.fencing import Lease
 from jasminerelay.freshness import now_s
-from jasminerelay.httpclient import Client
+from jasminerelay.httpclient import HttpClient
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.metrics import Counters
 from jasminerelay.platform.bootfile import BootSettings
@@ -34,7 +34,7 @@
     boot: BootSettings,
     own: Member,
     store: Store,
-    client: Client,
+    client: HttpClient,
     dispatcher: Dispatcher,
     registry: Registry,
     counters: Counters,
--- a/src/jasminerelay/platform/headers.py
+++ b/src/jasminerelay/platform/headers.py
@@ -7,7 +7,7 @@
 from jasminerelay.catalog import BackendServer, Call, Prompt, PromptPart
 from jasminerelay.evacuation import MOVE_TIMEOUT_S, Copy
 from jasminerelay.exchange import Head, Sending
-from jasminerelay.httpclient import Exchange, Reply
+from jasminerelay.httpclient import HttpRequest, HttpResponse
 
 MS = 1000.0
 HIGH_URGENCY = b"0"
@@ -181,10 +181,10 @@
 
     def move(
         self, call: Call, source: BackendServer, target: BackendServer
-    ) -> Exchange:
+    ) -> HttpRequest:
         """Returns the call that stops a request and copies its KV cache."""
         body = _MoveOrder(call.id, target.address, True)
-        return Exchange(
+        return HttpRequest(
             "POST",
             f"http://{source.address}/-/kv-move",
             {"content-type": "application/json"},
@@ -193,7 +193,7 @@
         )
 
     def moved(
-        self, reply: Reply, source: BackendServer, target: BackendServer
+        self, reply: HttpResponse, source: BackendServer, target: BackendServer
     ) -> Copy | None:
         """Parses the response to a move; None if the request was not moved."""
         if reply.status not in (200, 503):
--- a/src/jasminerelay/platform/release.py
+++ b/src/jasminerelay/platform/release.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from jasminerelay.httpclient import Client
+from jasminerelay.httpclient import HttpClient
 from jasminerelay.platform.storeclient import Store
 from jasminerelay.platform.tables import release_request
 from jasminerelay.watchdog import Watchdog
@@ -22,7 +22,7 @@
 
 
 async def _release(fingerprint: str, address: str) -> None:
-    client = Client(Watchdog())
+    client = HttpClient(Watchdog())
     try:
         await release_request(Store(client, address), fingerprint)
     finally:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -25,7 +25,7 @@
 from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness, now_s
 from jasminerelay.headbound import HeadBounds
-from jasminerelay.httpclient import Client
+from jasminerelay.httpclient import HttpClient
 from jasminerelay.limitwatch import LimitWatch
 from jasminerelay.membership import LEAVING
 from jasminerelay.metrics import Counters
@@ -214,7 +214,7 @@
     def _build_state(self) -> None:
         boot = self.boot
         self.registry = Registry(documents.catalog, documents.server)
-        self.client = Client(self._watchdog, keepalive=True)
+        self.client = HttpClient(self._watchdog, keepalive=True)
         store = self._store = Store(self.client, boot.store)
         self._freshness = Freshness((OPERATOR_TABLE, SERVERS_TABLE))
         self._store_state = StoreMonitor(
--- a/src/jasminerelay/platform/storeclient.py
+++ b/src/jasminerelay/platform/storeclient.py
@@ -12,11 +12,11 @@
 from jasminerelay.errors import StoreError
 from jasminerelay.freshness import now_s
 from jasminerelay.httpclient import (
-    BrokenError,
-    Client,
-    Exchange,
+    HttpClient,
+    HttpRequest,
+    HttpResponse,
+    IncompleteExchangeError,
     NotSentError,
-    Reply,
 )
 from jasminerelay.schema.messages import ServerRow
 from jasminerelay.storefollowing import HistoryGoneError, TablePage
@@ -108,7 +108,7 @@
     then have taken effect, or may still do so.
     """
 
-    def __init__(self, client: Client, address: str):
+    def __init__(self, client: HttpClient, address: str):
         """Creates the client.
 
         Args:
@@ -205,7 +205,7 @@
         conditions: Sequence[Condition],
         write: Sequence[NewRow],
         remove: Sequence[tuple[str, str]],
-    ) -> Reply:
+    ) -> HttpResponse:
         body = msgspec.json.encode(
             {
                 "expect": [
@@ -222,7 +222,7 @@
                 "remove": [_row_key(table, key) for table, key in remove],
             }
         )
-        exchange = Exchange(
+        exchange = HttpRequest(
             "POST",
             f"{self._base}/-/rows-tx",
             {"content-type": "application/json"},
@@ -235,16 +235,16 @@
         self, path: str, query: dict[str, Any], timeout_s: float
     ) -> _Response:
         url = f"{self._base}{path}?{urlencode(query)}"
-        reply = await self._call(Exchange("GET", url, timeout_s=timeout_s))
+        reply = await self._call(HttpRequest("GET", url, timeout_s=timeout_s))
         if reply.status == 410:
             raise HistoryGoneError("the requested changes were discarded")
         _raise_for_status(reply)
         return _decode(reply)
 
-    async def _call(self, exchange: Exchange) -> Reply:
+    async def _call(self, exchange: HttpRequest) -> HttpResponse:
         try:
             return await self._client.call(exchange)
-        except (NotSentError, BrokenError) as exc:
+        except (NotSentError, IncompleteExchangeError) as exc:
             raise StoreError(
                 f"the store did not respond: {exc}", retry_s=RETRY_S
             ) from exc
@@ -255,7 +255,7 @@
         self._max_clock_offset_s = response.now_ms / MS_PER_S - sent_at
 
 
-def _decode(reply: Reply) -> _Response:
+def _decode(reply: HttpResponse) -> _Response:
     try:
         return msgspec.json.decode(reply.body, type=_Response)
     except msgspec.MsgspecError as exc:
@@ -268,7 +268,7 @@
     return {"table": table, "part": "", "key": key}
 
 
-def _raise_for_status(reply: Reply) -> None:
+def _raise_for_status(reply: HttpResponse) -> None:
     if reply.status != 200:
         raise StoreError(
             f"the store responded with status {reply.status}", retry_s=RETRY_S
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -17,7 +17,7 @@
     NoRoomError,
     RelayError,
 )
-from jasminerelay.httpclient import Exchange, Reply
+from jasminerelay.httpclient import HttpRequest, HttpResponse
 from jasminerelay.metrics import Counters, Invariants
 from jasminerelay.outcome import Outcome, State
 from jasminerelay.permitclient import PermitClient
@@ -99,7 +99,7 @@
         self._ticket = ticket
         self._retries = RetryBudget()
 
-    async def serve(self, request: ServiceRequest) -> Reply:
+    async def serve(self, request: ServiceRequest) -> HttpResponse:
         """Returns the reply of the service, or the recorded one.
 
         A non-repeatable call continues if its caller disconnects, so that
@@ -110,7 +110,7 @@
         """
         if request.call.repeatable:
             return await self._run(request)
-        results: list[Reply | RelayError] = []
+        results: list[HttpResponse | RelayError] = []
         done = anyio.Event()
 
         async def run() -> None:
@@ -131,7 +131,7 @@
             raise results[0]
         return results[0]
 
-    async def _run(self, request: ServiceRequest) -> Reply:
+    async def _run(self, request: ServiceRequest) -> HttpResponse:
         started = time.monotonic()
         outcome = Outcome(uuid.uuid4().hex, repeatable=request.call.repeatable)
         try:
@@ -151,7 +151,7 @@
 
     async def _reply_with_retries(
         self, request: ServiceRequest, outcome: Outcome, started: float
-    ) -> Reply:
+    ) -> HttpResponse:
         acquired: AcquiredClaim | None = None
         avoid: list[str] = []
         while True:
@@ -219,7 +219,7 @@
 
     async def _dispatch(
         self, request: ServiceRequest, server: Server, outcome: Outcome
-    ) -> Reply:
+    ) -> HttpResponse:
         headers = {
             name: request.headers[name]
             for name in _FORWARDED_HEADERS
@@ -234,13 +234,13 @@
         self._counters.incr("service.dispatched")
         return await self._services.call(
             server,
-            Exchange(
+            HttpRequest(
                 request.method,
                 request.path + query,
                 headers,
                 request.body,
                 request.service.timeout_s,
-                fresh=not request.call.repeatable,
+                new_connection=not request.call.repeatable,
             ),
         )
 
@@ -383,8 +383,8 @@
     raise BackendError(f"permit names unknown backend server {name!r}")
 
 
-def _replayed_reply(outcome: Outcome, recorded: RecordedAnswer) -> Reply:
+def _replayed_reply(outcome: Outcome, recorded: RecordedAnswer) -> HttpResponse:
     outcome.not_run()
     claim = recorded.claim
     headers = {"content-type": claim.content_type, REPLAYED_HEADER: "true"}
-    return Reply(claim.status, headers, recorded.body)
+    return HttpResponse(claim.status, headers, recorded.body)
--- a/src/jasminerelay/store.py
+++ b/src/jasminerelay/store.py
@@ -7,11 +7,11 @@
 
 from jasminerelay.errors import StoreError
 from jasminerelay.httpclient import (
-    BrokenError,
-    Client,
-    Exchange,
+    HttpClient,
+    HttpRequest,
+    HttpResponse,
+    IncompleteExchangeError,
     NotSentError,
-    Reply,
 )
 from jasminerelay.schema.messages import Member
 from jasminerelay.schema.settings import Platform
@@ -76,7 +76,7 @@
     may nevertheless have taken effect then.
     """
 
-    def __init__(self, client: Client, cfg: Platform, timeout_s: float):
+    def __init__(self, client: HttpClient, cfg: Platform, timeout_s: float):
         self._client = client
         self._base = cfg.table.rstrip("/")
         self._timeout_s = timeout_s
@@ -85,7 +85,7 @@
         """Returns a row, or None if it does not exist."""
         url = f"{self._base}/v1/rows/{key}"
         reply = await _call(
-            self._client, Exchange("GET", url, timeout_s=self._timeout_s)
+            self._client, HttpRequest("GET", url, timeout_s=self._timeout_s)
         )
         if reply.status == 404:
             return None
@@ -95,7 +95,9 @@
         """Applies writes in one transaction, each if its version matches."""
         body = msgspec.json.encode({"writes": writes})
         url = f"{self._base}/v1/commit"
-        exchange = Exchange("POST", url, body=body, timeout_s=self._timeout_s)
+        exchange = HttpRequest(
+            "POST", url, body=body, timeout_s=self._timeout_s
+        )
         reply = await _call(self._client, exchange)
         return _decode(reply, _CommitReply).results
 
@@ -103,7 +105,7 @@
 class Objects:
     """Client of the object store; raises StoreError if it does not respond."""
 
-    def __init__(self, client: Client, cfg: Platform, timeout_s: float):
+    def __init__(self, client: HttpClient, cfg: Platform, timeout_s: float):
         self._client = client
         self._base = cfg.objects.rstrip("/")
         self._timeout_s = timeout_s
@@ -112,7 +114,7 @@
         """Stores an object; idempotent."""
         reply = await _call(
             self._client,
-            Exchange(
+            HttpRequest(
                 "PUT",
                 f"{self._base}/{key}",
                 body=body,
@@ -126,7 +128,9 @@
         """Returns an object, or None if it does not exist."""
         reply = await _call(
             self._client,
-            Exchange("GET", f"{self._base}/{key}", timeout_s=self._timeout_s),
+            HttpRequest(
+                "GET", f"{self._base}/{key}", timeout_s=self._timeout_s
+            ),
         )
         if reply.status == 404:
             return None
@@ -143,7 +147,7 @@
 class InstanceListClient:
     """Client of the platform's list of instances, which lags behind."""
 
-    def __init__(self, client: Client, cfg: Platform, timeout_s: float):
+    def __init__(self, client: HttpClient, cfg: Platform, timeout_s: float):
         self._client = client
         self._url = cfg.instances.rstrip("/") + "/v1/instances"
         self._timeout_s = timeout_s
@@ -156,22 +160,22 @@
         """
         reply = await _call(
             self._client,
-            Exchange("GET", self._url, timeout_s=self._timeout_s),
+            HttpRequest("GET", self._url, timeout_s=self._timeout_s),
         )
         return _decode(reply, _ListReply).instances
 
 
-async def _call(client: Client, exchange: Exchange) -> Reply:
+async def _call(client: HttpClient, exchange: HttpRequest) -> HttpResponse:
     try:
         reply = await client.call(exchange)
-    except (NotSentError, BrokenError) as exc:
+    except (NotSentError, IncompleteExchangeError) as exc:
         raise _unavailable_error(str(exc)) from exc
     if reply.status >= 500 or reply.status == 429:
         raise _unavailable_error(f"HTTP status {reply.status}")
     return reply
 
 
-def _decode(reply: Reply, kind: type) -> Any:
+def _decode(reply: HttpResponse, kind: type) -> Any:
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.MsgspecError as exc:
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -65,9 +65,9 @@
     Safeguard(
         "a lost answer does not prove that the request has not run",
         "backends",
-        "except BrokenError as exc:\n"
+        "except IncompleteExchangeError as exc:\n"
         "            raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN)",
-        "except BrokenError as exc:\n"
+        "except IncompleteExchangeError as exc:\n"
         "            raise AttemptError(str(exc), ExecutionStatus.NOT_RUN)",
         "test_atmostonce.AtMostOnceTest.test_answer_lost",
     ),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 from jasminerelay.catalog import BackendServer, RepeatPolicy
 from jasminerelay.eventlog import EventLog
 from jasminerelay.exchange import Sending
-from jasminerelay.httpclient import Reply
+from jasminerelay.httpclient import HttpResponse
 from jasminerelay.platform import bootfile, deployfile, documents, headers
 from standins.launcher import ROOT
 from tests.test_placing import call
@@ -304,7 +304,7 @@
             (404, b"", None),
             (200, b"?", None),
         ):
-            copy = dialect.moved(Reply(status, {}, body), source, target)
+            copy = dialect.moved(HttpResponse(status, {}, body), source, target)
             self.assertEqual(copy and copy.at, at)
 
 
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -8,7 +8,12 @@
 from jasminerelay.dutycalls import CallResult
 from jasminerelay.errors import StoreError
 from jasminerelay.fencing import LeaseRow
-from jasminerelay.httpclient import BrokenError, Exchange, NotSentError, Reply
+from jasminerelay.httpclient import (
+    HttpRequest,
+    HttpResponse,
+    IncompleteExchangeError,
+    NotSentError,
+)
 from jasminerelay.platform import bootfile, documents
 from jasminerelay.platform.dutyapi import DutyApi
 from jasminerelay.platform.storeclient import Store
@@ -113,14 +118,14 @@
 
     def __init__(self, answer):
         self.answer = answer
-        self.sent: list[Exchange] = []
+        self.sent: list[HttpRequest] = []
 
-    async def call(self, exchange: Exchange) -> Reply:
+    async def call(self, exchange: HttpRequest) -> HttpResponse:
         """Receives a request."""
         self.sent.append(exchange)
         if isinstance(self.answer, Exception):
             raise self.answer
-        return Reply(self.answer, {}, b"")
+        return HttpResponse(self.answer, {}, b"")
 
 
 class DutyApiTest(unittest.IsolatedAsyncioTestCase):
@@ -169,7 +174,7 @@
             (503, CallResult.UNAVAILABLE),
             (500, CallResult.NO_ANSWER),
             (NotSentError("refused"), CallResult.UNAVAILABLE),
-            (BrokenError("silent"), CallResult.NO_ANSWER),
+            (IncompleteExchangeError("silent"), CallResult.NO_ANSWER),
         ):
             with self.subTest(answer=answer):
                 self.assertIs(await self.said(answer), said)
@@ -182,7 +187,7 @@
         self._app = store.app()
         self.lose_next = False
 
-    async def call(self, exchange: Exchange) -> Reply:
+    async def call(self, exchange: HttpRequest) -> HttpResponse:
         """Sends a request to the store."""
         path, _, query = exchange.url.removeprefix("http://x").partition("?")
         scope = {
@@ -204,9 +209,9 @@
         await self._app(scope, receive, send)
         if self.lose_next:
             self.lose_next = False
-            raise BrokenError("lost")
+            raise IncompleteExchangeError("lost")
         body = b"".join(item.get("body", b"") for item in sent[1:])
-        return Reply(sent[0]["status"], {}, body)
+        return HttpResponse(sent[0]["status"], {}, body)
 
 
 class DutyTableTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from jasminerelay.httpclient import BrokenError
+from jasminerelay.httpclient import IncompleteExchangeError
 from jasminerelay.platform import root
 from jasminerelay.storefollowing import BATCH_PAUSE_S
 from standins.platformsite import MODEL, PLAIN
@@ -44,7 +44,7 @@
         ):
             return await call(exchange)
         await anyio.sleep(exchange.timeout_s)
-        raise BrokenError("no answer within the time limit")
+        raise IncompleteExchangeError("no answer within the time limit")
 
     def restore() -> None:
         instance.client.call = call
