--- a/src/jasminerelay/backends.py
+++ b/src/jasminerelay/backends.py
@@ -149,7 +149,7 @@
                 connection = response.extensions["network_stream"]
                 try:
                     async for raw in chunks:
-                        connection.read_limit_s = attempt.idle_timeout_s
+                        connection.read_timeout_s = attempt.idle_timeout_s
                         for event in parser.feed(raw):
                             if event.data == DONE:
                                 return
@@ -157,7 +157,7 @@
                             if chunk is not None and chunk.offset >= offset:
                                 yield chunk
                 finally:
-                    connection.read_limit_s = None
+                    connection.read_timeout_s = None
         except NotSentError as exc:
             raise AttemptError(str(exc), ExecutionStatus.NOT_RUN) from exc
         except (
--- a/src/jasminerelay/channels.py
+++ b/src/jasminerelay/channels.py
@@ -12,7 +12,7 @@
     IncompleteExchangeError,
     NotSentError,
 )
-from jasminerelay.netstream import WatchedBackend, WatchedStream
+from jasminerelay.netstream import WatchedNetworkBackend, WatchedStream
 from jasminerelay.watchdog import Watchdog
 
 DEFAULT_IDLE_S = 1.5
@@ -81,7 +81,7 @@
             BrokenError: if the exchange failed; the request may have run.
         """
         self.unused = False
-        self._stream.read_limit_s = timeout_s
+        self._stream.read_timeout_s = timeout_s
         try:
             return await self._conn.handle_async_request(request)
         except (httpcore.NetworkError, httpcore.ProtocolError) as exc:
@@ -107,7 +107,7 @@
     """Pool of the connections of an instance to backend servers."""
 
     def __init__(self, watchdog: Watchdog):
-        self._backend = WatchedBackend(watchdog, keepalive=True)
+        self._backend = WatchedNetworkBackend(watchdog, keepalive=True)
         self._idle: dict[str, collections.deque[_IdleChannel]] = {}
         self._distrusted: dict[str, float] = {}
 
--- a/src/jasminerelay/httpclient.py
+++ b/src/jasminerelay/httpclient.py
@@ -6,7 +6,7 @@
 
 import httpcore
 
-from jasminerelay.netstream import WatchedBackend
+from jasminerelay.netstream import WatchedNetworkBackend
 from jasminerelay.watchdog import Watchdog
 
 MAX_CONNECTIONS = 1000
@@ -71,7 +71,9 @@
             watchdog: Enforces the time limits of reads.
             keepalive: Whether TCP keepalive detects an unresponsive server.
         """
-        self._network_backend = WatchedBackend(watchdog, keepalive=keepalive)
+        self._network_backend = WatchedNetworkBackend(
+            watchdog, keepalive=keepalive
+        )
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=MAX_CONNECTIONS,
             max_keepalive_connections=MAX_IDLE_CONNECTIONS,
--- a/src/jasminerelay/netstream.py
+++ b/src/jasminerelay/netstream.py
@@ -29,7 +29,7 @@
     """A TCP connection with read timeouts enforced by the watchdog.
 
     Attributes:
-        read_limit_s: Read timeout that overrides the one of the request; None
+        read_timeout_s: Read timeout that overrides the one of the request; None
             for no override.
     """
 
@@ -37,11 +37,11 @@
         self._stream = stream
         self._watchdog = watchdog
         self._guard = watchdog.add_guard(self._abort)
-        self.read_limit_s: float | None = None
+        self.read_timeout_s: float | None = None
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Returns the next bytes received, or b"" at the end of the stream."""
-        limit_s = self.read_limit_s or timeout
+        limit_s = self.read_timeout_s or timeout
         if limit_s is not None:
             self._guard.arm(limit_s)
         try:
@@ -106,7 +106,7 @@
             return
 
 
-class WatchedBackend(httpcore.AsyncNetworkBackend):
+class WatchedNetworkBackend(httpcore.AsyncNetworkBackend):
     """Network backend that opens connections with watchdog timeouts."""
 
     def __init__(self, watchdog: Watchdog, *, keepalive: bool = False):
