--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -302,7 +302,7 @@
     async def _relay_events(
         self, reservation: Reservation, response: httpcore.Response, head: Head
     ) -> Outcome:
-        splitter = sse.EventCutter()
+        splitter = sse.EventSplitter()
         timer = _StreamTimer(self._kit, self._call, reservation, self._sent_at)
         progress = self._progress
         try:
@@ -317,7 +317,7 @@
                     await self._send_events(head, events)
         except (IncompleteExchangeError, ValueError) as exc:
             return Interrupted(str(exc))
-        if splitter.torn:
+        if splitter.has_partial_event:
             return Interrupted("the stream ended within an event")
         self._progress.status = head.status
         self._progress.output = self._progress.events * timer.event_tokens
--- a/src/jasminerelay/sse.py
+++ b/src/jasminerelay/sse.py
@@ -76,7 +76,7 @@
     id: bytes
 
 
-class EventCutter:
+class EventSplitter:
     """Splits a byte stream into complete, unmodified events.
 
     A backend server that crashes may stop in the middle of an event. If only
@@ -88,7 +88,7 @@
         self._buffer = b""
 
     @property
-    def torn(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether the stream so far ends with an incomplete event."""
         return bool(self._buffer)
 
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -364,7 +364,7 @@
     Safeguard(
         "a stream that ends within an event is incomplete",
         "attempt",
-        "        if splitter.torn:\n",
+        "        if splitter.has_partial_event:\n",
         "        if False:\n",
         "test_platform.FailuresTest.test_torn_event_is_no_end",
     ),
