--- a/src/jasminerelay/crashwatch.py
+++ b/src/jasminerelay/crashwatch.py
@@ -275,7 +275,7 @@
     def _record_server_crash(self, server: str, probe: _Probe) -> None:
         probe.crashed_at = time.monotonic()
         self._counters.incr("crash.server_ended")
-        self._log.trouble("server_ended", server=server)
+        self._log.warn("server_ended", server=server)
         for name in probe.lost_requests:
             self._record_crash(name, server)
         # Send at once: this instance may stop next, and no other one has the
@@ -323,14 +323,14 @@
         blocked = self.ledger.all_blocked
         for name in blocked - previously_blocked:
             self._counters.incr("crash.blocked")
-            self._log.trouble(
+            self._log.warn(
                 "request_blocked",
                 fingerprint=name,
                 servers=self.ledger.servers(name),
                 ages_ms=self.ledger.to_message(name, time.monotonic()).ages_ms,
             )
         for name in previously_blocked - blocked:
-            self._log.trouble("request_released", fingerprint=name)
+            self._log.warn("request_released", fingerprint=name)
         if blocked - previously_blocked:
             for scope, call in self._waiting.items():
                 if self.is_blocked(call):
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -196,7 +196,7 @@
         if message.skew_ms and now - self._corrected_at > CORRECTION_INTERVAL_S:
             self._corrected_at = now
             self._clock.correct(message.skew_ms / MS_PER_S)
-            self._log.trouble("clock_corrected", ahead_ms=message.skew_ms)
+            self._log.warn("clock_corrected", ahead_ms=message.skew_ms)
         if message.holds and message.sender != self._own.instance:
             self._holder_seen_at = now
         self._received_at[message.sender] = now
@@ -297,7 +297,7 @@
         if median_s and now_s() - self._corrected_at > CORRECTION_INTERVAL_S:
             self._corrected_at = now_s()
             self._clock.correct(-median_s)
-            self._log.trouble(
+            self._log.warn(
                 "clock_corrected", ahead_ms=-round(median_s * MS_PER_S)
             )
             self._skews.clear()
@@ -336,7 +336,7 @@
                 or self._stopping
                 or self._backing_off(now)
             ):
-                self._log.trouble("duty_given_up", fence=self._caller.fence)
+                self._log.warn("duty_given_up", fence=self._caller.fence)
                 await self._keeper.release()
                 return
             await self._keeper.renew_if_due()
@@ -362,7 +362,7 @@
 
     def _on_lease_taken(self) -> None:
         self._counters.incr("duty.taken")
-        self._log.trouble("duty_taken", fence=self._caller.fence)
+        self._log.warn("duty_taken", fence=self._caller.fence)
         self._caller.on_lease_taken()
         for part in (self.reports, self.orders):
             if part is not None:
--- a/src/jasminerelay/dutydesk.py
+++ b/src/jasminerelay/dutydesk.py
@@ -116,5 +116,5 @@
 
     def _on_fenced(self) -> None:
         self._counters.incr("duty.fenced")
-        self._log.trouble("duty_fenced", fence=self.fence)
+        self._log.warn("duty_fenced", fence=self.fence)
         self._keeper.lease.mark_lost()
--- a/src/jasminerelay/evacuation.py
+++ b/src/jasminerelay/evacuation.py
@@ -118,7 +118,7 @@
                 )
             except (NotSentError, IncompleteExchangeError) as exc:
                 self._counters.incr("stream.move_failed")
-                self._log.trouble(
+                self._log.warn(
                     "move_failed", id=call.id, server=source.id, why=str(exc)
                 )
                 return None
--- a/src/jasminerelay/eventlog.py
+++ b/src/jasminerelay/eventlog.py
@@ -68,7 +68,7 @@
         """Writes an informational event."""
         self._write(self._info_bucket, event, fields)
 
-    def trouble(self, event: str, **fields: Any) -> None:
+    def warn(self, event: str, **fields: Any) -> None:
         """Writes a warning: an event that operators need to see."""
         self._write(self._warning_bucket, event, fields)
 
@@ -104,7 +104,7 @@
         self._unwritten = data[done:] if done < len(data) else b""
 
 
-class Bridge(logging.Handler):
+class EventLogHandler(logging.Handler):
     """Forwards warnings and errors from `logging` to the event log.
 
     This includes the records of libraries.
@@ -120,4 +120,4 @@
         if record.exc_info and record.exc_info[0] is not None:
             formatter = logging.Formatter()
             fields["trace"] = formatter.formatException(record.exc_info)
-        self._log.trouble("log", level=record.levelname, **fields)
+        self._log.warn("log", level=record.levelname, **fields)
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -272,7 +272,7 @@
         call = self._call
         progress = self._progress
         good = self._answer_complete and not self._reason
-        write = self._kit.log.info if good else self._kit.log.trouble
+        write = self._kit.log.info if good else self._kit.log.warn
         first_s = None
         if progress.first_at:
             first_s = round(progress.first_at - call.arrived_at, 3)
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -101,7 +101,7 @@
         """Handles the response head of a server to this instance's request."""
         if head.limit_fault:
             self._counters.incr("limit.unreadable")
-            self._log.trouble(
+            self._log.warn(
                 "limit_unreadable", server=server, found=head.limit_fault
             )
         rate = NO_LIMIT if head.limit is None else head.limit
@@ -183,7 +183,7 @@
         self._broadcast.add(server)
         self._limits_present.set()
         self._counters.incr("limit.named" if rate >= 0 else "limit.ended")
-        self._log.trouble(
+        self._log.warn(
             "limit",
             server=server,
             rate=rate if rate >= 0 else None,
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -445,7 +445,7 @@
             zlib.error,
         ) as exc:
             self._counters.incr("peer.fetch_failed")
-            self._log.trouble("snapshot_failed", peer=name, why=str(exc))
+            self._log.warn("snapshot_failed", peer=name, why=str(exc))
             return
         self._counters.incr("peer.fetched")
         self.on_snapshot(snapshot, name)
@@ -455,7 +455,7 @@
         for name in live - self._live:
             self._log.info("instance_live", peer=name)
         for name in self._live - live:
-            self._log.trouble("instance_not_live", peer=name)
+            self._log.warn("instance_not_live", peer=name)
         self._live = live
         view = self.membership.view
         self.peer_status.retain({member.instance for member in view})
--- a/src/jasminerelay/platform/dutyapi.py
+++ b/src/jasminerelay/platform/dutyapi.py
@@ -88,13 +88,13 @@
         try:
             reply = await self._client.call(exchange)
         except NotSentError as exc:
-            self._log.trouble("duty_call", path=path, why=str(exc))
+            self._log.warn("duty_call", path=path, why=str(exc))
             return CallResult.UNAVAILABLE
         except IncompleteExchangeError as exc:
-            self._log.trouble("duty_call", path=path, why=str(exc))
+            self._log.warn("duty_call", path=path, why=str(exc))
             return CallResult.NO_ANSWER
         if reply.status != OK:
-            self._log.trouble(
+            self._log.warn(
                 "duty_call",
                 path=path,
                 status=reply.status,
--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -69,7 +69,7 @@
         except CallerDisconnectedError:
             return
         except RelayError as exc:
-            self._context.log.trouble(
+            self._context.log.warn(
                 "refused",
                 id=sink.attempt_id.decode("latin-1"),
                 path=scope["path"],
@@ -82,7 +82,7 @@
             # An internal fault. The response must not claim that the request
             # did not run: the HTTP server sends 500, which leaves that open,
             # or closes the connection of a response that has begun.
-            self._context.log.trouble(
+            self._context.log.warn(
                 "fault",
                 id=sink.attempt_id.decode("latin-1"),
                 trace=traceback.format_exc(),
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -21,7 +21,7 @@
 from jasminerelay.duties import Duties
 from jasminerelay.errors import StoreError
 from jasminerelay.evacuation import Evacuator
-from jasminerelay.eventlog import Bridge, EventLog
+from jasminerelay.eventlog import EventLog, EventLogHandler
 from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness, now_s
 from jasminerelay.headbound import HeadBounds
@@ -171,7 +171,7 @@
             signals: Whether to handle SIGTERM, SIGINT and SIGHUP.
         """
         self.running = True
-        self.log.trouble("start", settings=dataclasses.asdict(self.boot))
+        self.log.warn("start", settings=dataclasses.asdict(self.boot))
         async with anyio.create_task_group() as group:
             for port in self._ports:
                 group.start_soon(port.serve)
@@ -208,7 +208,7 @@
             )
             await self._wait_for_stop()
             group.cancel_scope.cancel()
-        self.log.trouble("stop", under_way=self._requests_in_flight())
+        self.log.warn("stop", under_way=self._requests_in_flight())
         self.running = False
 
     def _build_state(self) -> None:
@@ -433,11 +433,11 @@
         try:
             changes = self.registry.merge_snapshot(snapshot)
         except ValueError as exc:
-            self.log.trouble("snapshot_unreadable", peer=peer, why=str(exc))
+            self.log.warn("snapshot_unreadable", peer=peer, why=str(exc))
             return
         self._registry_feed.report_changes(changes, peer)
         self._peers.notify_dependents()
-        self.log.trouble(
+        self.log.warn(
             "snapshot",
             peer=peer,
             version=snapshot.configuration_version,
@@ -535,7 +535,7 @@
                 and self.registry.complete
             ):
                 self._ready = True
-                self.log.trouble("ready", **self._versions())
+                self.log.warn("ready", **self._versions())
                 self._peers.announce_ready()
 
     def _update_instances(self) -> None:
@@ -588,7 +588,7 @@
         self._planned_stop = PlannedShutdown(
             time.monotonic(), self.boot.grace_s
         )
-        self.log.trouble("stopping", under_way=self._requests_in_flight())
+        self.log.warn("stopping", under_way=self._requests_in_flight())
         self._peers.announce_leaving()
         if self._duties is not None:
             self._duties.stop()
@@ -606,7 +606,7 @@
             try:
                 await self._instance_table.unregister()
             except StoreError as exc:
-                self.log.trouble("unregister_failed", why=exc.message)
+                self.log.warn("unregister_failed", why=exc.message)
 
     async def _watch_settings(self) -> None:
         while True:
@@ -617,14 +617,14 @@
         loaded = bootfile.load(self._path)
         if loaded.is_err():
             problems = [str(item) for item in loaded.unwrap_err()]
-            self.log.trouble("settings_faulty", source=source, why=problems)
+            self.log.warn("settings_faulty", source=source, why=problems)
             return
         boot = loaded.unwrap()
         if boot == self.boot:
             return
         self.boot = boot
         self._peers.add_addresses(set(boot.seeds))
-        self.log.trouble(
+        self.log.warn(
             "reload", source=source, settings=dataclasses.asdict(boot)
         )
 
@@ -638,7 +638,9 @@
             print(problem, file=sys.stderr)
         return EXIT_USAGE
     instance = Instance(loaded.unwrap(), path)
-    logging.basicConfig(level=logging.WARNING, handlers=[Bridge(instance.log)])
+    logging.basicConfig(
+        level=logging.WARNING, handlers=[EventLogHandler(instance.log)]
+    )
     # Uvicorn logs every response that is left incomplete on purpose; the event
     # log's line of the request covers these.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
--- a/src/jasminerelay/platform/tables.py
+++ b/src/jasminerelay/platform/tables.py
@@ -81,9 +81,7 @@
                 instance = msgspec.json.decode(row.data, type=_Instance)
             except msgspec.MsgspecError as exc:
                 # One malformed row must not hide the other instances.
-                self._log.trouble(
-                    "instance_unreadable", row=row.id, why=str(exc)
-                )
+                self._log.warn("instance_unreadable", row=row.id, why=str(exc))
                 continue
             found.add(instance.peers)
         return found
@@ -161,7 +159,7 @@
                 window = int(row.id.removeprefix(REPORT_PREFIX))
                 counts = msgspec.json.decode(row.data, type=dict[str, int])
             except (msgspec.MsgspecError, ValueError) as exc:
-                self._log.trouble("report_unreadable", row=row.id, why=str(exc))
+                self._log.warn("report_unreadable", row=row.id, why=str(exc))
                 continue
             self.reports[window] = counts
 
@@ -175,7 +173,7 @@
             body = msgspec.json.decode(found.data, type=_LeaseBody)
         except msgspec.MsgspecError as exc:
             # The age is unknown, so it is counted from the first read.
-            self._log.trouble("lease_unreadable", why=str(exc))
+            self._log.warn("lease_unreadable", why=str(exc))
             return _StoredLease(found.version, None, 0.0)
         if body.row.given_up:
             return _StoredLease(found.version, body.row, math.inf)
@@ -223,7 +221,7 @@
                 held = msgspec.json.decode(row.data, type=_BlockedRequest)
                 crashes = _decode_crashes(row.id, held, now_ms)
             except (msgspec.MsgspecError, ValueError) as exc:
-                self._log.trouble("crash_unreadable", row=row.id, why=str(exc))
+                self._log.warn("crash_unreadable", row=row.id, why=str(exc))
                 continue
             found.append(crashes)
         return found
--- a/src/jasminerelay/serverorders.py
+++ b/src/jasminerelay/serverorders.py
@@ -91,7 +91,7 @@
         elif said is CallResult.CONFLICT:
             planner.refused(order, now)
         self._counters.incr("servers.ordered")
-        self._log.trouble(
+        self._log.warn(
             "servers_ordered",
             service=order.service,
             zone=order.zone,
--- a/src/jasminerelay/storefollowing.py
+++ b/src/jasminerelay/storefollowing.py
@@ -122,7 +122,7 @@
         self._failing_calls.add(call)
         self._registry.mark_store_unreachable()
         if first:
-            self._log.trouble(
+            self._log.warn(
                 "dependency_lost",
                 name="store",
                 call=call,
@@ -146,7 +146,7 @@
             return
         self._registry.mark_store_reachable(now)
         if was_lost:
-            self._log.trouble("dependency_regained", name="store")
+            self._log.warn("dependency_regained", name="store")
 
     def record_answer(self, table: str, version: int, at: float) -> None:
         """Records an answer on a table whose rows have been applied.
@@ -404,10 +404,10 @@
         except ValueError as exc:
             # The current configuration stays in force; an unreadable one is
             # never applied in part.
-            self._log.trouble("configuration_unreadable", why=str(exc))
+            self._log.warn("configuration_unreadable", why=str(exc))
             return
         if applied:
-            self._log.trouble(
+            self._log.warn(
                 "configuration",
                 version=self._registry.catalog.version,
                 row_version=version,
@@ -416,7 +416,7 @@
         elif version > self._registry.standing.configuration_version:
             # The row is newer, but its configuration is older than the one in
             # force, which never goes back.
-            self._log.trouble(
+            self._log.warn(
                 "configuration_passed_over",
                 version=self._registry.catalog.version,
                 row_version=version,
@@ -448,7 +448,7 @@
         """
         for server in self._registry.expire(now):
             self._end(server)
-            self._log.trouble(
+            self._log.warn(
                 "server",
                 server=server.id,
                 state="gone",
@@ -460,7 +460,7 @@
         for change in changes:
             if change.why:
                 self._counters.incr("server.unreadable")
-                self._log.trouble(
+                self._log.warn(
                     "server_unreadable",
                     server=change.row.id,
                     row_version=change.row.version,
@@ -471,7 +471,7 @@
             if change.kept:
                 self._counters.incr("server.kept")
             self._notify(change)
-            self._log.trouble(
+            self._log.warn(
                 "server",
                 server=(change.after or change.before).id,
                 state=_state(change),
--- a/src/jasminerelay/usagereports.py
+++ b/src/jasminerelay/usagereports.py
@@ -105,7 +105,7 @@
             return
         self._missed.add(window)
         self._counters.incr("usage.missed")
-        self._log.trouble(
+        self._log.warn(
             "usage_missed",
             window=window,
             why="this instance has not received all usage of the window",
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -65,7 +65,7 @@
         """Starts an instance whose event log is discarded."""
         path = site.settings(name)
         instance = Instance(bootfile.load(path).unwrap(), path)
-        instance.log.info = instance.log.trouble = lambda *a, **k: None
+        instance.log.info = instance.log.warn = lambda *a, **k: None
         group.start_soon(lambda: instance.run(signals=False))
         return instance
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -368,7 +368,7 @@
         self.addCleanup(os.close, writer)
         log = EventLog("edge-1", writer)
         for number in range(400):
-            log.trouble("request", id=str(number), why="x" * 4000)
+            log.warn("request", id=str(number), why="x" * 4000)
         self.assertGreater(log.left_out, 0)
         self.assertLess(log.written, 100)
         while os.read(reader, 1 << 16).endswith(b"x"):
@@ -382,7 +382,7 @@
         log = EventLog("edge-1", writer)
         for number in range(500):
             log.info("request", id=str(number))
-        log.trouble("refused", id="x")
+        log.warn("refused", id="x")
         os.close(writer)
         with os.fdopen(os.dup(reader), "rb") as stream:
             lines = stream.read().splitlines()
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -68,7 +68,7 @@
     def info(self, event: str, **fields) -> None:
         self.lines.append((event, fields))
 
-    trouble = info
+    warn = info
 
 
 class FollowedRegistry:
