--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -22,7 +22,7 @@
 from jasminerelay import burn, manifest
 from jasminerelay.broker import Broker
 from jasminerelay.membership import ALIVE, Membership
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.prefix import PrefixIndex
 from jasminerelay.schema.messages import (
@@ -263,7 +263,7 @@
         lambda: None,
         lambda peer, frame: None,
         counters,
-        Invariants(counters, fatal=True),
+        InvariantHandler(counters, fatal=True),
         1.0,
     )
     for number in range(STREAMS):
--- a/src/jasminerelay/answercontext.py
+++ b/src/jasminerelay/answercontext.py
@@ -7,7 +7,7 @@
 from jasminerelay import burn
 from jasminerelay.backends import EngineClient
 from jasminerelay.estimate import Estimator
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.resume import Signer
 from jasminerelay.retry import RetryBudget
@@ -77,7 +77,7 @@
     signer: Signer
     burn_recorder: burn.Book
     counters: Counters
-    invariants: Invariants
+    invariants: InvariantHandler
     timing: Timing
     estimator: Estimator
     retries: RetryBudget
--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -98,7 +98,7 @@
                     yield event
             self._record_completion()
         except InvariantError as exc:
-            self._context.invariants.violated(exc)
+            self._context.invariants.report(exc)
             raise
         except RelayError as exc:
             self._record_error(exc)
--- a/src/jasminerelay/brokerhost.py
+++ b/src/jasminerelay/brokerhost.py
@@ -14,7 +14,7 @@
 from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.loadpoller import LoadPoller
 from jasminerelay.manifest import Cell, Directory
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.schema.manifest import Server
 from jasminerelay.schema.messages import (
     Ask,
@@ -69,7 +69,7 @@
         self,
         directory: Callable[[], Directory | None],
         counters: Counters,
-        invariants: Invariants,
+        invariants: InvariantHandler,
     ):
         self._directory = directory
         self._counters = counters
@@ -336,7 +336,7 @@
             try:
                 decisions = hosted.broker.step(now)
             except InvariantError as exc:
-                self._invariants.violated(exc)
+                self._invariants.report(exc)
                 continue
             for decision in decisions:
                 outbox = outboxes.setdefault(decision.entry, _Outbox())
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -41,7 +41,7 @@
 from jasminerelay.loadpoller import LoadPoller
 from jasminerelay.manifest import Directory
 from jasminerelay.manifests import ManifestKeeper
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.placements import Placer
 from jasminerelay.resume import Signer
@@ -103,7 +103,9 @@
         self.cfg = cfg
         self._rng = rng
         self.counters = Counters(cfg.statsd)
-        self._invariants = Invariants(self.counters, fatal=cfg.fatal_invariants)
+        self._invariants = InvariantHandler(
+            self.counters, fatal=cfg.fatal_invariants
+        )
         self._watchdog = Watchdog()
         self._client = HttpClient(self._watchdog)
         # Load reports have a connection pool of their own, so that a pool
--- a/src/jasminerelay/manifests.py
+++ b/src/jasminerelay/manifests.py
@@ -16,7 +16,7 @@
     ManifestConflictError,
     StoreError,
 )
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.schema.messages import ManifestPointer, ManifestReply
 from jasminerelay.schema.settings import Timing
 from jasminerelay.spread import Spread, read_accepted
@@ -55,7 +55,7 @@
         objects: Objects,
         cfg: Timing,
         counters: Counters,
-        invariants: Invariants,
+        invariants: InvariantHandler,
         fetch_peer: FetchPeer,
         on_verified: Callable[[ManifestPointer], None],
         on_adopted: Callable[[], None],
@@ -198,7 +198,7 @@
         try:
             self.spread.check_digest(pointer)
         except InvariantError as exc:
-            self._invariants.violated(exc)
+            self._invariants.report(exc)
             return
         if not self.spread.wants(pointer):
             return
--- a/src/jasminerelay/metrics.py
+++ b/src/jasminerelay/metrics.py
@@ -45,14 +45,14 @@
         self._sent = self._totals.copy()
 
 
-class Invariants:
+class InvariantHandler:
     """Handles violated invariants."""
 
     def __init__(self, counters: Counters, *, fatal: bool):
         self._counters = counters
         self._fatal = fatal
 
-    def violated(self, exc: InvariantError) -> None:
+    def report(self, exc: InvariantError) -> None:
         """Counts and logs a violation; ends the process if it is fatal.
 
         The setting fatal_invariants, used in tests, makes violations fatal.
--- a/src/jasminerelay/permitclient.py
+++ b/src/jasminerelay/permitclient.py
@@ -13,7 +13,7 @@
 from jasminerelay.fairqueue import queued_request
 from jasminerelay.limits import BorrowedBalance, Limit, TokenBucket
 from jasminerelay.manifest import Cell, Directory
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.naive import NaiveBroker
 from jasminerelay.schema.manifest import Organisation, Pool, Service
 from jasminerelay.schema.messages import (
@@ -71,7 +71,7 @@
         directory: Callable[[], Directory | None],
         send: SendTo,
         counters: Counters,
-        invariants: Invariants,
+        invariants: InvariantHandler,
         timeout_s: float,
         coordination: str = COORDINATION_BROKER,
     ):
@@ -383,7 +383,7 @@
         try:
             decisions = self._local_brokers[cell].step(now)
         except InvariantError as exc:
-            self._invariants.violated(exc)
+            self._invariants.report(exc)
             return
         for decision in decisions:
             self._handle(decision.message, "")
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -18,7 +18,7 @@
     RelayError,
 )
 from jasminerelay.httpclient import HttpRequest, HttpResponse
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.outcome import Outcome, State
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.retry import RetryBudget
@@ -83,7 +83,7 @@
         claim_desk: ClaimStore,
         book: burn.Book,
         counters: Counters,
-        invariants: Invariants,
+        invariants: InvariantHandler,
         on_leaving: Callable[[str], None],
         spawn: Callable[..., None],
         ticket: Callable[[str, str, float], str],
@@ -137,7 +137,7 @@
         try:
             reply = await self._reply_with_retries(request, outcome, started)
         except InvariantError as exc:
-            self._invariants.violated(exc)
+            self._invariants.report(exc)
             raise
         except RelayError as exc:
             self._record_error(request, outcome, exc)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -23,24 +23,24 @@
 
     def setUp(self) -> None:
         self.counters = metrics.Counters(Statsd())
-        self.invariants = metrics.Invariants(self.counters, fatal=False)
+        self.invariants = metrics.InvariantHandler(self.counters, fatal=False)
 
     def violations(self) -> int:
         return self.counters.snapshot().get("invariant.violated", 0)
 
     def test_counted_and_logged(self) -> None:
         with self.assertLogs("jasminerelay.metrics", "ERROR") as logs:
-            self.invariants.violated(InvariantError("the evidence"))
+            self.invariants.report(InvariantError("the evidence"))
         self.assertIn("the evidence", logs.output[0])
         self.assertEqual(self.violations(), 1)
 
     def test_fatal_in_tests(self) -> None:
-        fatal = metrics.Invariants(self.counters, fatal=True)
+        fatal = metrics.InvariantHandler(self.counters, fatal=True)
         with (
             mock.patch("os._exit") as ended,
             self.assertLogs("jasminerelay.metrics", "ERROR"),
         ):
-            fatal.violated(InvariantError("the evidence"))
+            fatal.report(InvariantError("the evidence"))
         ended.assert_called_once_with(metrics.EXIT_INVARIANT)
 
     async def test_within_an_answer(self) -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -9,7 +9,7 @@
 
 from jasminerelay import manifest, rendezvous
 from jasminerelay.brokerhost import BrokerHost
-from jasminerelay.metrics import Counters, Invariants
+from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.schema.messages import (
     Ask,
@@ -56,7 +56,7 @@
         self.silent: set[str] = set()
         self.directory = manifest.parse(MANIFEST, "m").unwrap()
         counters = Counters(Statsd())
-        invariants = Invariants(counters, fatal=True)
+        invariants = InvariantHandler(counters, fatal=True)
         self.hosts = {
             name: BrokerHost(lambda: self.directory, counters, invariants)
             for name in self.names
