--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -278,7 +278,7 @@
             first_s = round(progress.first_at - call.arrived_at, 3)
         total_s = round(now - call.arrived_at, 3)
         self._kit.counters.incr(f"answer.{progress.status or 'none'}")
-        self._kit.telemetry.answered(call.rank, first_s, total_s)
+        self._kit.telemetry.record_latencies(call.rank, first_s, total_s)
         write(
             "request",
             id=call.id,
--- a/src/jasminerelay/telemetry.py
+++ b/src/jasminerelay/telemetry.py
@@ -28,7 +28,7 @@
         self._first = self._histogram("first_event_seconds", "first event")
         self._total = self._histogram("answer_seconds", "end of the answer")
 
-    def answered(
+    def record_latencies(
         self, rank: int, first_s: float | None, total_s: float
     ) -> None:
         """Records the latencies of a finished request.
