--- a/demo/platform.py
+++ b/demo/platform.py
@@ -156,7 +156,7 @@
     found = explain.explain(request, events)
     if found is None:
         return
-    for event in found.own:
+    for event in found.request_events:
         print(event)
 
 
--- a/src/jasminerelay/explain.py
+++ b/src/jasminerelay/explain.py
@@ -75,7 +75,7 @@
     """How a request ended, with the log events that show why.
 
     Attributes:
-        own: Events that carry the request's id.
+        request_events: Events that carry the request's id.
         context: Events of the servers and instances involved, from shortly
             before its arrival to its end, and blocks or releases of the same
             request at any time.
@@ -83,7 +83,7 @@
         left_out: Number of log lines that the instances dropped.
     """
 
-    own: tuple[Event, ...]
+    request_events: tuple[Event, ...]
     context: tuple[Event, ...]
     causes: tuple[str, ...]
     left_out: int
--- a/src/jasminerelay/localcommands.py
+++ b/src/jasminerelay/localcommands.py
@@ -118,7 +118,7 @@
             " of all instances, including those that have ended"
         )
     for title, part in (
-        ("Request", found.own),
+        ("Request", found.request_events),
         ("Context", found.context),
         ("Causes", found.causes),
     ):
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -54,7 +54,7 @@
     def test_context_and_causes(self) -> None:
         events, left_out = explain.read(LOG)
         found = explain.explain("a1", events, left_out)
-        self.assertEqual(len(found.own), 1)
+        self.assertEqual(len(found.request_events), 1)
         shown = [str(event) for event in found.context]
         self.assertEqual(len(shown), 2)
         self.assertIn("draining", shown[0])
