--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -40,7 +40,7 @@
 from jasminerelay.httpclient import HttpClient
 from jasminerelay.loadpoller import LoadPoller
 from jasminerelay.manifest import Directory
-from jasminerelay.manifests import ManifestKeeper
+from jasminerelay.manifestmanager import ManifestManager
 from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.placements import Placer
@@ -176,7 +176,7 @@
 
     def status(self) -> dict[str, Any]:
         """Returns the status of the instance for operators."""
-        pointer = self._manifest_keeper.spread.pointer
+        pointer = self._manifest_keeper.adopted.pointer
         return {
             "instance": self.cfg.instance,
             "zone": self.cfg.zone,
@@ -244,7 +244,7 @@
         self._instance_list = InstanceListClient(
             self._client, cfg.platform, timeout_s
         )
-        self._manifest_keeper = ManifestKeeper(
+        self._manifest_keeper = ManifestManager(
             self._table_client,
             self._object_store,
             cfg.timing,
@@ -428,7 +428,9 @@
         self._gossip.send(self.membership.push())
 
     def _on_gossip(self, gossip: Gossip) -> None:
-        self._manifest_keeper.hear(gossip.manifest, gossip.sender.peers)
+        self._manifest_keeper.handle_pointer(
+            gossip.manifest, gossip.sender.peers
+        )
         if gossip.notices:
             self._apply_leaving_servers()
 
@@ -454,7 +456,9 @@
 
     async def _start_ports(self, group: anyio.abc.TaskGroup) -> None:
         self._peer_server = peers.PeerServer(
-            self._brokers, self._peer_credentials, self._manifest_keeper.reply
+            self._brokers,
+            self._peer_credentials,
+            self._manifest_keeper.newest_reply,
         )
         await self._peer_server.start(self.cfg.listen.peers)
         bounds = self.cfg.bounds
--- a/src/jasminerelay/manifests.py
+++ b/src/jasminerelay/manifestmanager.py
@@ -46,7 +46,7 @@
     tokens: list[str]
 
 
-class ManifestKeeper:
+class ManifestManager:
     """Keeps the manifest of one instance up to date."""
 
     def __init__(
@@ -76,26 +76,26 @@
             anyio.create_memory_object_stream(64)
         )
         self._newest = ManifestReply(0, "")
-        self.spread = Spread()
+        self.adopted = Spread()
 
     @property
     def directory(self) -> manifest.Directory | None:
         """The manifest in force, indexed; None if there is none yet."""
-        current = self.spread.current
+        current = self.adopted.current
         return current.directory if current else None
 
-    def reply(self) -> ManifestReply:
+    def newest_reply(self) -> ManifestReply:
         """Returns the newest manifest that this instance can pass to a peer."""
         return self._newest
 
-    def hear(self, pointer: ManifestPointer, address: str) -> None:
+    def handle_pointer(self, pointer: ManifestPointer, address: str) -> None:
         """Queues a fetch from a peer if it has a newer manifest.
 
         Args:
             pointer: Manifest that the peer has.
             address: Address of the peer.
         """
-        if not self.spread.wants(pointer):
+        if not self.adopted.wants(pointer):
             return
         try:
             self._pointer_sink.send_nowait((pointer, address))
@@ -133,7 +133,7 @@
             raise CheckError(parsed.unwrap_err())
         digest = manifest.digest_of(text)
         token = secrets.token_hex(16)
-        expect = self.spread.pointer.version if over is None else over
+        expect = self.adopted.pointer.version if over is None else over
         try:
             with anyio.fail_after(APPLY_TIMEOUT_S):
                 await self._store_text(digest, text)
@@ -160,7 +160,7 @@
         if row is None:
             return
         pointer = ManifestPointer(row.version, _value(row).digest)
-        if not self.spread.wants(pointer):
+        if not self.adopted.wants(pointer):
             return
         body = await self._objects.get(_object_key(pointer.digest))
         if body is not None:
@@ -183,7 +183,7 @@
     async def _fetch_from_peer(
         self, pointer: ManifestPointer, address: str
     ) -> None:
-        if not self.spread.wants(pointer):
+        if not self.adopted.wants(pointer):
             return
         reply = await self._fetch_peer(address, pointer)
         if reply is None or reply.version < pointer.version:
@@ -196,11 +196,11 @@
 
     async def _adopt(self, pointer: ManifestPointer, body: str) -> None:
         try:
-            self.spread.check_digest(pointer)
+            self.adopted.check_digest(pointer)
         except InvariantError as exc:
             self._invariants.report(exc)
             return
-        if not self.spread.wants(pointer):
+        if not self.adopted.wants(pointer):
             return
         if manifest.digest_of(body) != pointer.digest:
             self._counters.incr("manifest.rejected")
@@ -214,7 +214,7 @@
         # Parsed in a thread: a large manifest would block the event loop, and
         # with it all token streams, for a quarter of a second.
         accepted = await anyio.to_thread.run_sync(read_accepted, pointer, body)
-        if accepted is None or not self.spread.take(accepted):
+        if accepted is None or not self.adopted.take(accepted):
             self._counters.incr("manifest.rejected")
             return
         self._counters.incr("manifest.adopted")
--- a/src/jasminerelay/operators.py
+++ b/src/jasminerelay/operators.py
@@ -19,7 +19,7 @@
     RelayError,
     UnknownKeyError,
 )
-from jasminerelay.manifests import ManifestKeeper
+from jasminerelay.manifestmanager import ManifestManager
 from jasminerelay.metrics import Counters
 from jasminerelay.replies import error_response
 
@@ -43,7 +43,7 @@
     """
 
     token: str
-    keeper: ManifestKeeper
+    keeper: ManifestManager
     status: Callable[[], dict[str, Any]]
     entries: Callable[[], entrylist.EntryList]
     drain: Callable[[], None]
@@ -77,7 +77,7 @@
     async def show(self, request: Request) -> Response:
         """Returns the manifest in force."""
         self._authenticate(request)
-        current = self._context.keeper.spread.current
+        current = self._context.keeper.adopted.current
         if current is None:
             raise NotReadyError(
                 "no manifest yet", remedy="Apply a manifest.", retry_s=1.0
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -109,7 +109,7 @@
     ),
     Safeguard(
         "a repeated manifest write recognizes its own token",
-        "manifests",
+        "manifestmanager",
         "if row is not None and token in _value(row).tokens:",
         "if False:",
         "test_manifest_force.InForceTest.test_acknowledgement_lost",
@@ -130,7 +130,7 @@
     ),
     Safeguard(
         "a new instance adopts the manifest of a peer",
-        "manifests",
+        "manifestmanager",
         "        await self._adopt(offered, reply.body)\n",
         "",
         "test_manifest_force.InForceTest.test_fresh_instance_during_an_outage",
