--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -344,7 +344,7 @@
                 self.counters, cfg.bounds, self.progress, self._watchdog
             ),
         )
-        self._operators_context = operators.Office(
+        self._operators_context = operators.OperatorContext(
             cfg.keys.operator_token,
             self._manifest_keeper,
             self.status,
--- a/src/jasminerelay/operators.py
+++ b/src/jasminerelay/operators.py
@@ -28,31 +28,31 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Office:
+class OperatorContext:
     """Parts of the instance that the operators' port uses.
 
     Attributes:
         token: Bearer token of the operators.
-        keeper: Holds the manifest in force and applies new ones.
+        manifest_manager: Holds the manifest in force and applies new ones.
         status: Returns the state of the instance.
         entries: Returns the entry list.
         drain: Starts draining the instance.
-        book: Records of finished requests for the burn report.
+        burn_recorder: Records of finished requests for the burn report.
         counters: Counters of the instance.
         instance: Name of the instance.
     """
 
     token: str
-    keeper: ManifestManager
+    manifest_manager: ManifestManager
     status: Callable[[], dict[str, Any]]
     entries: Callable[[], entrylist.EntryList]
     drain: Callable[[], None]
-    book: burn.Book
+    burn_recorder: burn.Book
     counters: Counters
     instance: str
 
 
-def application(context: Office) -> Starlette:
+def application(context: OperatorContext) -> Starlette:
     """Returns the ASGI application of the operators' port."""
     handlers = _Handlers(context)
     return Starlette(
@@ -71,13 +71,13 @@
 class _Handlers:
     """Request handlers of the operators' port."""
 
-    def __init__(self, context: Office):
+    def __init__(self, context: OperatorContext):
         self._context = context
 
     async def show(self, request: Request) -> Response:
         """Returns the manifest in force."""
         self._authenticate(request)
-        current = self._context.keeper.adopted.current
+        current = self._context.manifest_manager.adopted.current
         if current is None:
             raise NotReadyError(
                 "no manifest yet", remedy="Apply a manifest.", retry_s=1.0
@@ -114,7 +114,7 @@
             raise BadRequestError(
                 "If-Match is not a version", remedy="Send a version number."
             )
-        pointer = await self._context.keeper.apply(
+        pointer = await self._context.manifest_manager.apply(
             text, int(over) if over else None
         )
         return JSONResponse(
@@ -139,8 +139,10 @@
         self._authenticate(request)
         now = time.monotonic()
         windows = {
-            "short": self._context.book.totals(burn.SHORT_WINDOW_S, now),
-            "long": self._context.book.totals(burn.LONG_WINDOW_S, now),
+            "short": self._context.burn_recorder.totals(
+                burn.SHORT_WINDOW_S, now
+            ),
+            "long": self._context.burn_recorder.totals(burn.LONG_WINDOW_S, now),
         }
         body = {"instance": self._context.instance, "windows": windows}
         return Response(
