--- a/src/jasminerelay/callers.py
+++ b/src/jasminerelay/callers.py
@@ -189,7 +189,7 @@
         placement = RequestPolicy(
             organisation,
             kind,
-            directory.class_of(organisation, kind),
+            directory.service_class_of(organisation, kind),
             directory.pool_of(parsed.body["model"]),
             waited_s,
         )
@@ -211,7 +211,7 @@
         """Forwards a call to a plain service."""
         directory, organisation = self._authenticate(request)
         path = "/" + request.path_params["path"]
-        service, call = directory.call_of(
+        service, call = directory.find_call(
             organisation, request.path_params["service"], request.method, path
         )
         key = request.headers.get(IDEMPOTENCY_HEADER, "")
@@ -276,7 +276,7 @@
         if directory is None:
             raise NotReadyError("the instance has no manifest yet", retry_s=1.0)
         scheme, _, key = request.headers.get("authorization", "").partition(" ")
-        organisation = directory.organisation_of(key.strip())
+        organisation = directory.organisation_for_key(key.strip())
         if scheme.lower() != "bearer" or organisation is None:
             raise UnknownKeyError("the API key belongs to no organisation")
         return directory, organisation
--- a/src/jasminerelay/manifest.py
+++ b/src/jasminerelay/manifest.py
@@ -115,7 +115,7 @@
             for server in group.servers
         }
 
-    def organisation_of(self, key: str) -> Organisation | None:
+    def organisation_for_key(self, key: str) -> Organisation | None:
         """Returns the organisation that a bearer key belongs to, if any."""
         return self._by_key.get(key_digest(key))
 
@@ -163,7 +163,7 @@
             f"organisation {organisation.name!r} may not use model {model!r}"
         )
 
-    def class_of(
+    def service_class_of(
         self, organisation: Organisation, kind: RequestType
     ) -> ServiceClass:
         """Returns the service class for an organisation and request type."""
@@ -174,7 +174,7 @@
         """Returns the pool that serves a model."""
         return self._pool_of[model]
 
-    def call_of(
+    def find_call(
         self, organisation: Organisation, service: str, method: str, path: str
     ) -> tuple[Service, Call]:
         """Returns the service and the declared call that match a request.
