--- a/standins/platformduties.py
+++ b/standins/platformduties.py
@@ -33,13 +33,13 @@
     fence: int
 
 
-class DutyJudge:
+class DutyCallChecker:
     """Accepts or refuses the calls of all instances and checks them.
 
     Attributes:
-        broken: Violations found.
+        violations: Violations found.
         reports: Reported request counts, by window.
-        reported_at: Time of the first report, by window.
+        first_report_times: Time of the first report, by window.
         servers: Number of servers ordered, by service, zone and whether they
             are preemptible.
         accepted_calls: Accepted calls, by subject.
@@ -56,9 +56,9 @@
         """
         self._checks_fences = checks_fences
         self._lease_s = lease_s
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.reports: dict[int, dict[str, int]] = {}
-        self.reported_at: dict[int, float] = {}
+        self.first_report_times: dict[int, float] = {}
         self.servers: dict[tuple[str, str, bool], int] = {}
         self.accepted_calls: dict[str, list[AcceptedCall]] = {}
         self.refused_count = 0
@@ -87,9 +87,9 @@
         if not self._admit("usage", machine, fence, now, excused):
             return CONFLICT
         held = self.reports.setdefault(window, counts)
-        self.reported_at.setdefault(window, now)
+        self.first_report_times.setdefault(window, now)
         if held != counts:
-            self.broken.append(
+            self.violations.append(
                 f"window {window} reported twice: {held}, {counts}"
             )
         return OK
@@ -163,21 +163,21 @@
         return False
 
     def _record_violation(self, violation: str) -> None:
-        self.broken.append(violation)
+        self.violations.append(violation)
 
 
 class PlatformDuties:
     """Serves the calls over HTTP.
 
     Attributes:
-        judge: Decides the responses and checks the calls.
+        checker: Decides the responses and checks the calls.
         faults: Active faults.
         busy: Number of upcoming calls that are answered with 429.
         zones_without_preemptible: Zones without preemptible servers.
     """
 
     def __init__(self, *, checks_fences: bool = True):
-        self.judge = DutyJudge(checks_fences=checks_fences)
+        self.checker = DutyCallChecker(checks_fences=checks_fences)
         self.faults = Faults()
         self.busy = 0
         self.zones_without_preemptible: set[str] = set()
@@ -196,7 +196,7 @@
             return JSONResponse({}, 429)
         body = await request.json()
         machine, fence = _holder_and_fence(request)
-        status = self.judge.usage(
+        status = self.checker.usage(
             machine, fence, body["windowNum"], body["counts"], time.monotonic()
         )
         return JSONResponse({}, status)
@@ -211,7 +211,7 @@
         if preemptible and body["zone"] in self.zones_without_preemptible:
             return JSONResponse({"error": "none of that kind"}, CONFLICT)
         server_group = (body["backend"], body["zone"], preemptible)
-        status = self.judge.scale(
+        status = self.checker.scale(
             machine, fence, server_group, body["desiredCount"], time.monotonic()
         )
         return JSONResponse({}, status)
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -19,7 +19,7 @@
 from jasminerelay.trueclock import TrueClock
 from jasminerelay.usage import OwnUsage, Report, UsageLedger
 from jasminerelay.usagereports import UsageReports
-from standins.platformduties import CONFLICT, DutyJudge
+from standins.platformduties import CONFLICT, DutyCallChecker
 from tests.instanceworld import InstanceWorld, Node, Quiet
 
 LEASE_S = 3.0
@@ -240,7 +240,9 @@
         checks_fences: bool = True,
     ):
         super().__init__(seed, count, faults=faults)
-        self.judge = DutyJudge(checks_fences=checks_fences, lease_s=LEASE_S)
+        self.judge = DutyCallChecker(
+            checks_fences=checks_fences, lease_s=LEASE_S
+        )
         self.store = SimulatedStore(self)
         self.truth: dict[int, collections.Counter[str]] = {}
         self.calls_lost = 0.0
--- a/tests/platformsoak.py
+++ b/tests/platformsoak.py
@@ -552,8 +552,8 @@
             )
 
     def _check_duties(self) -> None:
-        judge = self.site.duties.judge
-        for broken in judge.broken:
+        judge = self.site.duties.checker
+        for broken in judge.violations:
             self._record_violation(f"duties: {broken}")
         self.counts["windows reported"] = len(judge.reports)
 
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -295,11 +295,11 @@
                     attempt=f"a{number}",
                 )
                 self.assertEqual(answer.status, 200)
-            judge = site.duties.judge
+            judge = site.duties.checker
             await self.until(lambda: self.reported(judge) == 6)
             place = (MODEL, "north", True)
             await self.until(lambda: place in judge.servers)
-            self.assertEqual(judge.broken, [])
+            self.assertEqual(judge.violations, [])
 
     def reported(self, judge) -> int:
         """Returns the number of requests in all reports."""
