--- a/standins/platformserver.py
+++ b/standins/platformserver.py
@@ -78,10 +78,10 @@
         name: Name of the server.
         faults: Active faults.
         journal: Requests that it ran.
-        arrivals: Times at which requests arrived, also rejected ones.
+        arrival_times: Times at which requests arrived, also rejected ones.
         max_running: Maximum number of requests that ran at once.
         running: Number of requests that run now.
-        moves: Number of requests that were moved to another server.
+        move_count: Number of requests that were moved to another server.
         on_crash: Called when a request crashes the server.
     """
 
@@ -89,10 +89,10 @@
         self.name = name
         self.faults = ServerFaults()
         self.journal: list[ServedRequest] = []
-        self.arrivals: list[float] = []
+        self.arrival_times: list[float] = []
         self.max_running = 0
         self.running = 0
-        self.moves = 0
+        self.move_count = 0
         self.on_crash: Callable[[], None] = lambda: None
 
     async def __call__(self, scope, receive, send) -> None:
@@ -106,7 +106,7 @@
         if body is None:
             return
         attempt = headers.get("attempt-id", "")
-        self.arrivals.append(asyncio.get_running_loop().time())
+        self.arrival_times.append(asyncio.get_running_loop().time())
         if scope["path"] == "/-/kv-move":
             await self._handle_move(send, json.loads(body))
         elif headers.get("expect-instance", self.name) != self.name:
@@ -126,7 +126,7 @@
         for ran in self.journal:
             if ran.attempt == order["id"] and not ran.ended:
                 ran.moved = True
-                self.moves += 1
+                self.move_count += 1
                 await _send_json(send, 200, {"handle": "h1", "created": 0})
                 return
         await _send_json(send, 404, {})
--- a/tests/platformsoak.py
+++ b/tests/platformsoak.py
@@ -379,7 +379,7 @@
         since = time.monotonic()
         await anyio.sleep(LIMIT_SPAN_S)
         server.faults.limit = b""
-        received = sum(at >= since for at in server.arrivals)
+        received = sum(at >= since for at in server.arrival_times)
         self.counts["at a limit"] = received
         if received > MAX_REQUESTS_IN_SPAN:
             self._record_violation(
--- a/tests/test_namedlimits.py
+++ b/tests/test_namedlimits.py
@@ -56,7 +56,7 @@
 
     def assert_limit_kept(self, server, since: float, limit: float) -> None:
         """Asserts that a server's limit was kept in any window."""
-        times = [at for at in server.arrivals if at >= since]
+        times = [at for at in server.arrival_times if at >= since]
         highest = max(
             (sum(at <= x < at + WINDOW_S for x in times) for at in times),
             default=0,
@@ -123,9 +123,9 @@
             await self.send_for(instances, PROPAGATION_S, "/lookup/x")
             server.faults.limit = b""
             await self.send_for(instances, CLEARED_AFTER_S, "/lookup/x")
-            count_before = len(server.arrivals)
+            count_before = len(server.arrival_times)
             answers = await self.send_for(instances, 1.0, "/lookup/x")
-            sent = len(server.arrivals) - count_before
+            sent = len(server.arrival_times) - count_before
         self.assertEqual({answer.status for answer in answers}, {200})
         self.assertGreater(sent, len(answers) / 4)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -317,7 +317,7 @@
             )
             self.assertEqual(answer.body, events(250))
             self.assertTrue(answer.whole)
-            self.assertEqual(site.servers[name].moves, 1)
+            self.assertEqual(site.servers[name].move_count, 1)
             (other,) = [
                 server
                 for key, server in site.servers.items()
@@ -343,7 +343,7 @@
                         server.faults.tick_s = 0.01
             self.assertEqual(answers[0].body, events(250))
             self.assertTrue(answers[0].whole)
-            moves = sum(server.moves for server in site.servers.values())
+            moves = sum(server.move_count for server in site.servers.values())
             self.assertEqual(moves, 1)
 
     async def test_refused_move_is_no_second_run(self) -> None:
