--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -322,9 +322,9 @@
                 system.fault(name, down=True)
         case "broker-frozen":
             broker = _find_broker(system)
-            broker.freeze()
+            broker.pause()
             time.sleep(2.0)
-            broker.thaw()
+            broker.unpause()
         case "drain":
             system.daemons[-1].terminate()
 
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -104,9 +104,9 @@
         case "killed":
             broker.kill()
         case "frozen":
-            broker.freeze()
+            broker.pause()
             time.sleep(FREEZE_S)
-            broker.thaw()
+            broker.unpause()
         case "drained":
             broker.terminate()
 
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -55,11 +55,11 @@
         self.popen.kill()
         self.popen.wait()
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Suspends the process by SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def unpause(self) -> None:
         """Resumes the process by SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -155,9 +155,9 @@
 
     def _freeze_daemon(self) -> None:
         daemon = self._rng.choice(self.system.daemons)
-        daemon.freeze()
+        daemon.pause()
         self._stopped.wait(self._rng.uniform(0.2, 3.0))
-        daemon.thaw()
+        daemon.unpause()
 
     def _kill_engine(self) -> None:
         name = self._rng.choice(self._engines())
@@ -167,9 +167,9 @@
 
     def _freeze_engine(self) -> None:
         process = self.system.processes[self._rng.choice(self._engines())]
-        process.freeze()
+        process.pause()
         self._stopped.wait(self._rng.uniform(0.2, 2.5))
-        process.thaw()
+        process.unpause()
 
     def _engine_faults(self) -> None:
         name = self._rng.choice(self._engines())
@@ -257,7 +257,7 @@
             self._heal_service(name)
         self._heal_stores()
         for daemon in self.system.daemons:
-            daemon.thaw()
+            daemon.unpause()
             wait_for(lambda d=daemon: is_ready(d) or has_ended(d))
         for thread in getattr(self, "_stoppers", []):
             thread.join()
--- a/tests/test_atmostonce.py
+++ b/tests/test_atmostonce.py
@@ -256,7 +256,7 @@
         self.set_faults(slow_s=0.3)
         pending = Background(self.confirm, first, key)
         wait_for(lambda: self.runs(key) == 1)
-        first.freeze()
+        first.pause()
         try:
             until = time.monotonic() + 4.0
             while time.monotonic() < until:
@@ -264,7 +264,7 @@
                 self.assertEqual(status, 409)
                 self.assertEqual(body["error"]["ran"], "unknown")
         finally:
-            first.thaw()
+            first.unpause()
         self.set_faults(slow_s=0.0)
         self.assertEqual(pending.result()[0], 200)
         wait_for(lambda: self.confirm(second, key)[0] == 200)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -98,7 +98,7 @@
         broker = self.broker()
         others = self.others(broker)
         load = Load(others * 3, "[len=8]")
-        broker.freeze()
+        broker.pause()
         wait_for(
             lambda: all(
                 member["state"] == "failed"
@@ -108,7 +108,7 @@
             )
         )
         frozen_s = load.slowest_s
-        broker.thaw()
+        broker.unpause()
         wait_for(
             lambda: all(
                 member["state"] == "alive"
--- a/tests/test_manifest_force.py
+++ b/tests/test_manifest_force.py
@@ -108,12 +108,12 @@
         # An instance is frozen while two versions are accepted. After it
         # resumes, it reaches the newest one, and its version never decreases.
         frozen = self.system.daemons[2]
-        frozen.freeze()
+        frozen.pause()
         try:
             self.system.apply(self.noted("one"))
             version = self.system.apply(self.noted("two"))["version"]
         finally:
-            frozen.thaw()
+            frozen.unpause()
         started = time.monotonic()
         seen = []
         while not seen or seen[-1] != version:
--- a/tests/test_placements.py
+++ b/tests/test_placements.py
@@ -116,12 +116,12 @@
         frozen = self.holder(daemons)
         old_fence = self.state("model-1")["fence"]
         others = [daemon for daemon in daemons if daemon is not frozen]
-        frozen.freeze()
+        frozen.pause()
         try:
             self.system.apply(self.placed("two"), others[0])
             wait_for(lambda: self.versions() == ["two", "two"])
         finally:
-            frozen.thaw()
+            frozen.unpause()
         late = {
             "fence": old_fence,
             "state": {"model": "helper", "version": "one", "role": "serve"},
