--- a/demo/platform.py
+++ b/demo/platform.py
@@ -19,7 +19,13 @@
 
 from jasminerelay import explain
 from standins.launcher import ROOT
-from standins.platformsite import HOST, KEY, MODEL, PlatformSite, SiteOptions
+from standins.platformsite import (
+    API_KEY,
+    HOST,
+    MODEL_BACKEND,
+    PlatformSite,
+    SiteOptions,
+)
 
 INSTANCES = 2
 WAIT_S = 30.0
@@ -100,7 +106,7 @@
         await anyio.sleep(0.3)
         for name, server in site.servers.items():
             if server.running:
-                site.register(name, MODEL, "draining")
+                site.write_server_row(name, MODEL_BACKEND, "draining")
     return replies[0].content.count(b"\n\n")
 
 
@@ -108,7 +114,7 @@
     headers = {
         "Host": HOST,
         "Attempt-Id": f"demo{path}",
-        "Authorization": f"Bearer {KEY}",
+        "Authorization": f"Bearer {API_KEY}",
         "Content-Length": "0",
         **fields,
     }
--- a/standins/platformsite.py
+++ b/standins/platformsite.py
@@ -19,10 +19,10 @@
 from standins.platformserver import PlatformServer
 from standins.platformstore import PlatformStore
 
-KEY = "key-of-elm"
+API_KEY = "key-of-elm"
 HOST = "relay.example"
-MODEL = "engines"
-PLAIN = "bookings"
+MODEL_BACKEND = "engines"
+PLAIN_BACKEND = "bookings"
 BASE_IP_OCTET = 10
 """Last octet of the loopback address before that of the first instance."""
 
@@ -44,7 +44,7 @@
         restart_s: Time after which a crashed server restarts.
         duties: Whether instances perform duties, with calls to the platform.
         window_s: Length of a usage window.
-        late_s: Time from the end of a window to its report.
+        usage_late_s: Time from the end of a window to its report.
         scaling: Autoscaling configuration of the model servers; empty for none.
     """
 
@@ -58,7 +58,7 @@
     restart_s: float = 0.5
     duties: bool = False
     window_s: float = 2.0
-    late_s: float = 6.0
+    usage_late_s: float = 6.0
     scaling: dict = dataclasses.field(default_factory=dict)
 
 
@@ -108,10 +108,10 @@
                     "duties", self.duties.app(), self.duties_address
                 )
             for index in range(self.options.engines):
-                await self.add_server(f"engine-{index + 1}", MODEL)
+                await self.add_server(f"engine-{index + 1}", MODEL_BACKEND)
             for index in range(self.options.plain):
-                await self.add_server(f"plain-{index + 1}", PLAIN)
-            self.configure()
+                await self.add_server(f"plain-{index + 1}", PLAIN_BACKEND)
+            self.write_configuration()
             yield self
             group.cancel_scope.cancel()
 
@@ -125,14 +125,16 @@
         self.servers[name] = server
         await self._listen(name, server, address)
         self.addresses[name] = self._through_link(name, address)
-        self.register(name, service)
+        self.write_server_row(name, service)
         return server
 
     def leaving(self, name: str) -> bool:
         """Returns whether a server has ended or is draining."""
         return name not in self._scopes or name in self._leaving
 
-    def register(self, name: str, service: str, phase: str = "ready") -> None:
+    def write_server_row(
+        self, name: str, service: str, phase: str = "ready"
+    ) -> None:
         """Writes a server's row, with its phase, to the store."""
         if phase != "ready":
             self._leaving.add(name)
@@ -170,7 +172,9 @@
         self.store.drop("servers", name)
         await self.add_server(f"{name}+", service)
 
-    def configure(self, added: Sequence[dict] = (), **changes) -> None:
+    def write_configuration(
+        self, added: Sequence[dict] = (), **changes
+    ) -> None:
         """Writes a new version of the configuration.
 
         Args:
@@ -179,15 +183,15 @@
         """
         self.version += 3
         routes = [
-            _route("chat", "/chat/", MODEL, routeType="streaming",
+            _route("chat", "/chat/", MODEL_BACKEND, routeType="streaming",
                    streamResume=True, maxAttempts=2, priorityClass=0,
                    sessionAffinity=True, gapTargetMs=250),
-            _route("sheet", "/sheet/", MODEL, routeType="streaming",
+            _route("sheet", "/sheet/", MODEL_BACKEND, routeType="streaming",
                    priorityClass=2, sessionAffinity=True, gapTargetMs=1000,
                    timeoutMs=8000, targetLatencyMs=2000),
-            _route("lookup", "/lookup/", PLAIN, routeType="idempotent",
+            _route("lookup", "/lookup/", PLAIN_BACKEND, routeType="idempotent",
                    maxAttempts=2),
-            _route("confirm", "/confirm/", PLAIN,
+            _route("confirm", "/confirm/", PLAIN_BACKEND,
                    routeType="non_idempotent", maxAttempts=2),
         ]  # fmt: skip
         routes += [_route(**route) for route in added]
@@ -198,7 +202,7 @@
             "routes": routes,
             "backends": [
                 {
-                    "name": MODEL,
+                    "name": MODEL_BACKEND,
                     "healthPath": "/healthz",
                     "maxConnections": 64,
                     **self._autoscale_fields(),
@@ -212,7 +216,7 @@
                     },
                 },
                 {
-                    "name": PLAIN,
+                    "name": PLAIN_BACKEND,
                     "healthPath": "/healthz",
                     "maxConnections": 64,
                 },
@@ -223,7 +227,7 @@
                 "headerTimeoutMs": 3000,
                 "idleTimeoutMs": 15000,
             },
-            "tenants": [{"name": "elm", "apiKeys": [KEY]}],
+            "tenants": [{"name": "elm", "apiKeys": [API_KEY]}],
             **changes,
         }
         self.store.put("op", "config", value)
@@ -264,7 +268,7 @@
             "[bounds]",
             f"graceS = {self.options.grace_s}",
             f"windowS = {self.options.window_s}",
-            f"usageLateS = {self.options.late_s}",
+            f"usageLateS = {self.options.usage_late_s}",
             "[platform]",
             f'address = "{self._through_link(name, self.store_address)}"',
             *self._duty_settings(name),
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -12,7 +12,7 @@
 
 from jasminerelay.platform import bootfile
 from jasminerelay.platform.root import Instance
-from standins.platformsite import HOST, KEY, PlatformSite, SiteOptions
+from standins.platformsite import API_KEY, HOST, PlatformSite, SiteOptions
 
 WAIT_S = 10.0
 POLL_S = 0.01
@@ -81,7 +81,7 @@
         path: str,
         method: str = "POST",
         attempt: str = "a1",
-        key: str = KEY,
+        key: str = API_KEY,
         body: bytes = b"",
         host: str = HOST,
         **headers: str,
--- a/tests/platformsoak.py
+++ b/tests/platformsoak.py
@@ -31,7 +31,13 @@
 import httpcore
 
 from standins.launcher import ROOT
-from standins.platformsite import HOST, KEY, MODEL, PLAIN, PlatformSite
+from standins.platformsite import (
+    API_KEY,
+    HOST,
+    MODEL_BACKEND,
+    PLAIN_BACKEND,
+    PlatformSite,
+)
 from standins.platformsite import SiteOptions as Options
 
 INSTANCES = 4
@@ -335,9 +341,9 @@
         name = self._choose_server(rng)
         if name is None:
             return
-        service = MODEL if name.startswith("engine") else PLAIN
+        service = MODEL_BACKEND if name.startswith("engine") else PLAIN_BACKEND
         if rng.random() < 0.5:
-            self.site.register(name, service, "draining")
+            self.site.write_server_row(name, service, "draining")
             await anyio.sleep(2.5)
         self.site.kill_server(name)
         await anyio.sleep(rng.uniform(0.0, 2.0))
@@ -362,7 +368,7 @@
 
     async def _configure(self, rng: random.Random) -> None:
         del rng
-        self.site.configure()
+        self.site.write_configuration()
 
     # Checks across instances after all of them had faults.
 
@@ -462,7 +468,7 @@
         fields = {
             "Host": HOST,
             "Attempt-Id": request.attempt,
-            "Authorization": f"Bearer {KEY}",
+            "Authorization": f"Bearer {API_KEY}",
             "Content-Length": str(len(request.body)),
             "Token-Usage": "900,30",
             "Prefix-Hash": "aa:500,bb:400",
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 
 from jasminerelay import stragglers
 from standins.platformserver import ServerFaults
-from standins.platformsite import HOST, KEY, MODEL, PLAIN
+from standins.platformsite import API_KEY, HOST, MODEL_BACKEND, PLAIN_BACKEND
 from tests.platformcase import PlatformCase, events, fetch
 
 PROMPT = {"Token_Usage": "1200,20", "Prefix_Hash": "aa:1000,bb:200"}
@@ -93,7 +93,9 @@
 
     async def test_new_configuration_in_force(self) -> None:
         async with self.site() as (site, (instance,)):
-            site.configure(tenants=[{"name": "elm", "apiKeys": ["new"]}])
+            site.write_configuration(
+                tenants=[{"name": "elm", "apiKeys": ["new"]}]
+            )
             await self.until(lambda: instance.version == site.version)
             old = await self.ask(instance, "/confirm/x")
             new = await self.ask(instance, "/confirm/x", key="new")
@@ -104,7 +106,7 @@
     """Server failures that the platform specifies."""
 
     def set_faults(self, site, service: str, **faults) -> None:
-        prefix = "engine" if service == MODEL else "plain"
+        prefix = "engine" if service == MODEL_BACKEND else "plain"
         for name, server in site.servers.items():
             if name.startswith(prefix):
                 for fault, value in faults.items():
@@ -154,7 +156,7 @@
         # the connection without a response. It may have run the request, so
         # the caller gets 502 and no other server gets the request.
         async with self.site() as (site, (instance,)):
-            self.set_faults(site, PLAIN, mute=1)
+            self.set_faults(site, PLAIN_BACKEND, mute=1)
             async with anyio.create_task_group() as group:
                 answers = []
 
@@ -170,7 +172,7 @@
 
     async def test_idempotent_goes_to_second_server(self) -> None:
         async with self.site() as (site, (instance,)):
-            self.set_faults(site, PLAIN, fail=1)
+            self.set_faults(site, PLAIN_BACKEND, fail=1)
             site.servers["plain-2"].faults.fail = 0
             answers = [
                 await self.ask(instance, "/lookup/x", "GET", f"a{number}")
@@ -201,7 +203,7 @@
         # once. The events received are forwarded, and the response must not
         # end as if it were complete.
         async with self.site() as (site, (instance,)):
-            self.set_faults(site, MODEL, break_after=7, torn=True)
+            self.set_faults(site, MODEL_BACKEND, break_after=7, torn=True)
             answer = await self.ask(instance, "/sheet/1/stream", **PROMPT)
             self.assertFalse(answer.whole)
             self.assertEqual(answer.body, events(7))
@@ -211,7 +213,7 @@
         # A server ends its response properly at the HTTP level, but within an
         # event. The caller must not see a complete response.
         async with self.site() as (site, (instance,)):
-            self.set_faults(site, MODEL, tear_after=7)
+            self.set_faults(site, MODEL_BACKEND, tear_after=7)
             answer = await self.ask(instance, "/sheet/1/stream", **PROMPT)
             self.assertFalse(answer.whole)
             self.assertEqual(answer.body, events(7))
@@ -239,9 +241,11 @@
                 site.store.drop("servers", name)
             async with run_raw_server(stale_second_answer) as address:
                 site.addresses["raw"] = address
-                site.register("raw", PLAIN)
+                site.write_server_row("raw", PLAIN_BACKEND)
                 await self.until(
-                    lambda: len(instance.registry.servers_of(PLAIN)) == 1
+                    lambda: (
+                        len(instance.registry.servers_of(PLAIN_BACKEND)) == 1
+                    )
                 )
                 for number in range(4):
                     answer = await self.ask(
@@ -258,7 +262,7 @@
             host, _, port = instance.callers.rpartition(":")
             head = (
                 f"POST /sheet/1/stream HTTP/1.1\r\nHost: {HOST}\r\n"
-                f"Attempt-Id: a1\r\nAuthorization: Bearer {KEY}\r\n"
+                f"Attempt-Id: a1\r\nAuthorization: Bearer {API_KEY}\r\n"
                 "Token-Usage: 100,400\r\nContent-Length: 0\r\n\r\n"
             )
             async with await anyio.connect_tcp(host, int(port)) as conn:
@@ -303,7 +307,7 @@
             (name,) = [n for n, s in site.servers.items() if s.journal]
             await anyio.sleep(0.2)
             before_draining()
-            site.register(name, MODEL, "draining")
+            site.write_server_row(name, MODEL_BACKEND, "draining")
         return name, answers[0]
 
     async def test_stream_is_moved_from_leaving_server(self) -> None:
@@ -352,9 +356,9 @@
         # cache would run it a second time, so the caller must get a truncated
         # response.
         async with self.site() as (site, (instance,)):
-            await site.add_server("engine-3", MODEL)
+            await site.add_server("engine-3", MODEL_BACKEND)
             await self.until(
-                lambda: len(instance.registry.servers_of(MODEL)) == 3
+                lambda: len(instance.registry.servers_of(MODEL_BACKEND)) == 3
             )
 
             def refuse() -> None:
@@ -370,9 +374,9 @@
 
     async def test_draining_server_gets_nothing(self) -> None:
         async with self.site() as (site, (instance,)):
-            site.register("plain-1", PLAIN, "draining")
+            site.write_server_row("plain-1", PLAIN_BACKEND, "draining")
             await self.until(
-                lambda: len(instance.registry.servers_of(PLAIN)) == 1
+                lambda: len(instance.registry.servers_of(PLAIN_BACKEND)) == 1
             )
             for number in range(6):
                 await self.ask(instance, "/confirm/x", attempt=f"a{number}")
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -20,7 +20,7 @@
 from jasminerelay.platform.tables import DutyTable
 from jasminerelay.scaling import Order
 from jasminerelay.usage import Report
-from standins.platformsite import MODEL, SiteOptions
+from standins.platformsite import MODEL_BACKEND, SiteOptions
 from standins.platformstore import PlatformStore
 from tests.instanceworld import Quiet
 from tests.platformcase import PlatformCase
@@ -297,7 +297,7 @@
                 self.assertEqual(answer.status, 200)
             judge = site.duties.checker
             await self.until(lambda: self.reported(judge) == 6)
-            place = (MODEL, "north", True)
+            place = (MODEL_BACKEND, "north", True)
             await self.until(lambda: place in judge.servers)
             self.assertEqual(judge.violations, [])
 
--- a/tests/test_platforminstances.py
+++ b/tests/test_platforminstances.py
@@ -13,7 +13,7 @@
 from jasminerelay.platform.root import REGISTER_PAUSE_S
 from jasminerelay.registry import StoreStatus
 from jasminerelay.storefollowing import MIN_RECHECK_AGE_S
-from standins.platformsite import HOST, KEY, PLAIN, SiteOptions
+from standins.platformsite import API_KEY, HOST, PLAIN_BACKEND, SiteOptions
 from tests.platformcase import WAIT_S, PlatformCase, events, fetch
 
 PROMPT = {"Token_Usage": "1200,20", "Prefix_Hash": "aa:1000,bb:200"}
@@ -28,8 +28,8 @@
         await self.until(lambda: second.live_instance_count == 2)
         self.disconnect_from_store(first)
         # Long polls already open still deliver one change each.
-        site.configure()
-        site.register("plain-2", PLAIN)
+        site.write_configuration()
+        site.write_server_row("plain-2", PLAIN_BACKEND)
         await self.until(lambda: first.version == site.version)
 
     def disconnect_from_store(self, instance) -> None:
@@ -47,10 +47,14 @@
         # instance within seconds.
         async with self.site(2) as (site, (first, second)):
             await self.disconnect_one(site, first, second)
-            site.configure(tenants=[{"name": "elm", "apiKeys": ["new"]}])
-            site.register("plain-1", PLAIN, "draining")
+            site.write_configuration(
+                tenants=[{"name": "elm", "apiKeys": ["new"]}]
+            )
+            site.write_server_row("plain-1", PLAIN_BACKEND, "draining")
             await self.until(lambda: first.version == site.version)
-            await self.until(lambda: len(first.registry.servers_of(PLAIN)) == 1)
+            await self.until(
+                lambda: len(first.registry.servers_of(PLAIN_BACKEND)) == 1
+            )
 
     async def test_removed_server_while_cut_off(self) -> None:
         # Guards against requests that reach a server twelve seconds after it
@@ -64,9 +68,11 @@
             await self.disconnect_one(site, first, second)
             site.store.drop("servers", "plain-1")
             await self.until(
-                lambda: len(second.registry.servers_of(PLAIN)) == 1
+                lambda: len(second.registry.servers_of(PLAIN_BACKEND)) == 1
+            )
+            await self.until(
+                lambda: len(first.registry.servers_of(PLAIN_BACKEND)) == 1
             )
-            await self.until(lambda: len(first.registry.servers_of(PLAIN)) == 1)
             for number in range(4):
                 attempt = f"a{number}"
                 await self.ask(first, "/confirm/x", attempt=attempt)
@@ -92,7 +98,7 @@
             await self.until(lambda: first.live_instance_count == 2)
             site.store.faults.down = True
             # Long polls already open still deliver one change each.
-            site.configure()
+            site.write_configuration()
             for instance in (first, second):
                 await self.until(
                     lambda i=instance: (
@@ -163,7 +169,9 @@
                         i.registry.standing.touch != StoreStatus.UNREACHABLE
                     )
                 )
-                self.assertEqual(len(instance.registry.servers_of(PLAIN)), 2)
+                self.assertEqual(
+                    len(instance.registry.servers_of(PLAIN_BACKEND)), 2
+                )
                 answer = await self.ask(instance, "/confirm/x")
                 self.assertEqual(answer.status, 200)
 
@@ -233,10 +241,10 @@
         # for good. The configured time limits must close the connections, and
         # requests that were not fully read must be reported as not run.
         async with self.site() as (site, (instance,)):
-            site.configure(limits=self.LIMITS)
+            site.write_configuration(limits=self.LIMITS)
             await self.until(lambda: instance.version == site.version)
             head = f"POST /confirm/x HTTP/1.1\r\nHost: {HOST}\r\n".encode()
-            key = f"Authorization: Bearer {KEY}\r\n".encode()
+            key = f"Authorization: Bearer {API_KEY}\r\n".encode()
             whole = head + key + b"Attempt-Id: a1\r\nContent-Length: "
             for sent, status in (
                 (b"", b""),
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -9,13 +9,13 @@
 from jasminerelay.httpclient import IncompleteExchangeError
 from jasminerelay.platform import root
 from jasminerelay.storefollowing import BATCH_PAUSE_S
-from standins.platformsite import MODEL, PLAIN
+from standins.platformsite import MODEL_BACKEND, PLAIN_BACKEND
 from tests.platformcase import PlatformCase
 
 ADDED = {
     "name": "added",
     "prefix": "/added/",
-    "service": PLAIN,
+    "service": PLAIN_BACKEND,
     "routeType": "idempotent",
 }
 """A route that an operator adds."""
@@ -63,7 +63,7 @@
         follow it are never answered.
         """
         site.store.faults.hang = True
-        site.configure()
+        site.write_configuration()
         for instance in instances:
             await self.until(lambda i=instance: i.version == site.version)
         await anyio.sleep(2 * BATCH_PAUSE_S)
@@ -77,7 +77,7 @@
         """
         while True:
             restore = leave_unanswered(instance, "op")
-            site.configure()
+            site.write_configuration()
             with anyio.move_on_after(CHANGE_TIMEOUT_S):
                 await self.until(lambda: instance.version == site.version)
                 return
@@ -98,7 +98,7 @@
             await self.until(lambda: instances[1].live_instance_count == 2)
             await self.make_store_unresponsive(site, instances)
             site.store.faults.hang = False
-            site.configure(added=[ADDED])
+            site.write_configuration(added=[ADDED])
             for instance in instances:
                 await self.until(lambda i=instance: i.version == site.version)
                 answer = await self.ask(instance, "/added/x")
@@ -132,10 +132,10 @@
             await self.leave_next_call_unanswered(site, instance)
             for phase, count in (("draining", 1), ("ready", 2)) * 3:
                 await anyio.sleep(root.MAX_CONFIRMED_AGE_S / 4)
-                site.register("engine-1", MODEL, phase)
+                site.write_server_row("engine-1", MODEL_BACKEND, phase)
                 await self.until(
                     lambda n=count: (
-                        len(instance.registry.servers_of(MODEL)) == n
+                        len(instance.registry.servers_of(MODEL_BACKEND)) == n
                     )
                 )
             answer = await self.ask(instance, "/added/x")
@@ -152,7 +152,7 @@
             await self.until(lambda: second.live_instance_count == 2)
             leave_unanswered(first, "snapshot")
             await self.leave_next_call_unanswered(site, first)
-            site.configure(added=[ADDED])
+            site.write_configuration(added=[ADDED])
             await self.until(lambda: second.version == site.version)
             await self.until(lambda: not first.configuration_confirmed)
             answer = await self.ask(first, "/added/x")
@@ -171,7 +171,7 @@
             self.assertEqual(answer.status, 503)
             answer = await self.ask(instance, "/confirm/x")
             self.assertEqual(answer.status, 200)
-            site.configure(added=[ADDED])
+            site.write_configuration(added=[ADDED])
             await self.until(lambda: instance.configuration_confirmed)
             answer = await self.ask(instance, "/added/x")
             self.assertEqual(answer.status, 200)
@@ -185,10 +185,10 @@
             await self.until(lambda: first.live_instance_count == 2)
             await self.until(lambda: second.live_instance_count == 2)
             leave_unanswered(first, "op")
-            site.configure()
+            site.write_configuration()
             await self.until(lambda: first.version == site.version)
             await anyio.sleep(2 * BATCH_PAUSE_S)
-            site.configure(added=[ADDED])
+            site.write_configuration(added=[ADDED])
             await self.until(lambda: first.version == site.version)
             answer = await self.ask(first, "/added/x")
             self.assertEqual(answer.status, 200)
