--- a/standins/platformsite.py
+++ b/standins/platformsite.py
@@ -169,7 +169,7 @@
 
     async def _restart_server(self, name: str, service: str) -> None:
         await anyio.sleep(self.options.restart_s)
-        self.store.drop("servers", name)
+        self.store.delete("servers", name)
         await self.add_server(f"{name}+", service)
 
     def write_configuration(
--- a/standins/platformstore.py
+++ b/standins/platformstore.py
@@ -78,13 +78,13 @@
         self._version += 1
         self._store(StoredRow(table, "", key, data, self._version))
 
-    def drop(self, table: str, key: str) -> None:
+    def delete(self, table: str, key: str) -> None:
         """Deletes a row, as when a server has shut down."""
         if (table, "", key) in self._rows:
             self._version += 1
             self._store(StoredRow(table, "", key, "", self._version, True))
 
-    def forget(self) -> None:
+    def discard_history(self) -> None:
         """Discards the change history, so that older feed positions get 410."""
         self._history.clear()
         self._discarded_version = self._version
--- a/tests/platformsoak.py
+++ b/tests/platformsoak.py
@@ -312,7 +312,7 @@
 
     async def _store_forgets(self, rng: random.Random) -> None:
         del rng
-        self.site.store.forget()
+        self.site.store.discard_history()
 
     async def _link(self, rng: random.Random) -> None:
         link = rng.choice(list(self.site.links.values()))
@@ -347,7 +347,7 @@
             await anyio.sleep(2.5)
         self.site.kill_server(name)
         await anyio.sleep(rng.uniform(0.0, 2.0))
-        self.site.store.drop("servers", name)
+        self.site.store.delete("servers", name)
         await self._add_server(name, service)
 
     def _choose_server(self, rng: random.Random) -> str | None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -238,7 +238,7 @@
         async with self.site() as (site, (instance,)):
             for name in ("plain-1", "plain-2"):
                 site.kill_server(name)
-                site.store.drop("servers", name)
+                site.store.delete("servers", name)
             async with run_raw_server(stale_second_answer) as address:
                 site.addresses["raw"] = address
                 site.write_server_row("raw", PLAIN_BACKEND)
--- a/tests/test_platforminstances.py
+++ b/tests/test_platforminstances.py
@@ -66,7 +66,7 @@
         # after the store was back; the other instances dropped it at once.
         async with self.site(2) as (site, (first, second)):
             await self.disconnect_one(site, first, second)
-            site.store.drop("servers", "plain-1")
+            site.store.delete("servers", "plain-1")
             await self.until(
                 lambda: len(second.registry.servers_of(PLAIN_BACKEND)) == 1
             )
@@ -161,7 +161,7 @@
                     )
                 )
             for name in ("plain-1", "plain-2"):
-                site.store.drop("servers", name)
+                site.store.delete("servers", name)
             site.store.faults.down = False
             for instance in (first, second):
                 await self.until(
