--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -19,13 +19,13 @@
     Delivered,
     Dialect,
     Failed,
-    Head,
     Interrupted,
     NotRun,
     NotSent,
     Outcome,
-    Sending,
-    Sink,
+    OutgoingRequest,
+    ResponseHead,
+    ResponseSink,
     Unknown,
 )
 from jasminerelay.httpclient import (
@@ -145,7 +145,9 @@
 class Attempt:
     """Sends a request to one server."""
 
-    def __init__(self, kit: Kit, call: Call, sink: Sink, progress: Progress):
+    def __init__(
+        self, kit: Kit, call: Call, sink: ResponseSink, progress: Progress
+    ):
         self._kit = kit
         self._call = call
         self._sink = sink
@@ -171,7 +173,7 @@
             else:
                 head = done.head
                 await self._kit.channels.put_back(
-                    channel, head.idle_s, head.closing
+                    channel, head.idle_timeout_s, head.closing
                 )
 
     async def _exchange(
@@ -181,7 +183,7 @@
         left_s = self._call.answer_deadline - time.monotonic()
         copy, self._progress.copy = self._progress.copy, None
         self._continues_run = copy is not None
-        sending = Sending(
+        sending = OutgoingRequest(
             self._call,
             server,
             left_s,
@@ -244,7 +246,7 @@
         self,
         channel: Channel,
         response: httpcore.Response,
-        head: Head,
+        head: ResponseHead,
         done: "_Completion",
     ) -> Outcome:
         try:
@@ -274,7 +276,7 @@
         reservation: Reservation,
         channel: Channel,
         response: httpcore.Response,
-        head: Head,
+        head: ResponseHead,
         done: "_Completion",
     ) -> Outcome:
         server = channel.server
@@ -300,7 +302,10 @@
         return outcome
 
     async def _relay_events(
-        self, reservation: Reservation, response: httpcore.Response, head: Head
+        self,
+        reservation: Reservation,
+        response: httpcore.Response,
+        head: ResponseHead,
     ) -> Outcome:
         splitter = sse.EventSplitter()
         timer = _StreamTimer(self._kit, self._call, reservation, self._sent_at)
@@ -384,7 +389,7 @@
             self._move_ended = None
 
     async def _send_events(
-        self, head: Head, events: list[sse.RawEvent]
+        self, head: ResponseHead, events: list[sse.RawEvent]
     ) -> None:
         if not events:
             return
@@ -419,7 +424,7 @@
         # it ends at its own deadline.
         return NO_TIMEOUT_S
 
-    async def send_answer(self, head: Head, body: bytes) -> None:
+    async def send_answer(self, head: ResponseHead, body: bytes) -> None:
         """Sends a complete answer to the caller."""
         self._progress.status = head.status
         length = (b"content-length", str(len(body)).encode())
@@ -482,4 +487,4 @@
     Only then may its connection be reused.
     """
 
-    head: Head | None = None
+    head: ResponseHead | None = None
--- a/src/jasminerelay/exchange.py
+++ b/src/jasminerelay/exchange.py
@@ -11,13 +11,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sending:
+class OutgoingRequest:
     """A request as sent to a server.
 
     Attributes:
         call: The request.
         server: The server.
-        left_s: Time that remains for the request.
+        remaining_s: Time that remains for the request.
         after: Id of the event after which a stream continues; "" for its start.
         copy: Copy of the KV cache from which this run continues.
         source: Server from which the shared prefix's KV cache is copied.
@@ -25,14 +25,14 @@
 
     call: Call
     server: BackendServer
-    left_s: float
+    remaining_s: float
     after: str = ""
     copy: Copy | None = None
     source: BackendServer | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class Head:
+class ResponseHead:
     """Status and headers of a server's answer.
 
     Attributes:
@@ -42,7 +42,7 @@
         misdirected: Whether another server answers at the address.
         request: Id of the answered request; "" if not given.
         closing: Whether the server closes the connection after the answer.
-        idle_s: Time for which the server keeps an idle connection; None if not
+        idle_timeout_s: Time for which the server keeps an idle connection; None if not
             given.
         limit: Requests per second that the server accepts from all instances
             together; None if not given.
@@ -54,7 +54,7 @@
     not_run: bool
     request: str
     closing: bool
-    idle_s: float | None
+    idle_timeout_s: float | None
     misdirected: bool = False
     limit: float | None = None
     limit_fault: str = ""
@@ -63,14 +63,18 @@
 class Dialect(Protocol):
     """Translates requests and answers to and from a server interface."""
 
-    def request_headers(self, sending: Sending) -> list[tuple[bytes, bytes]]:
+    def request_headers(
+        self, sending: OutgoingRequest
+    ) -> list[tuple[bytes, bytes]]:
         """Returns all headers of a request to a server."""
 
-    def head(self, status: int, headers: list[tuple[bytes, bytes]]) -> Head:
+    def head(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> ResponseHead:
         """Reads the head of a server's answer."""
 
 
-class Sink(Protocol):
+class ResponseSink(Protocol):
     """Receives an answer for the caller's connection."""
 
     @property
@@ -136,7 +140,7 @@
         body: Complete body.
     """
 
-    head: Head
+    head: ResponseHead
     body: bytes
 
 
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -16,7 +16,7 @@
     NotRun,
     NotSent,
     Outcome,
-    Sink,
+    ResponseSink,
     Unknown,
 )
 from jasminerelay.placementqueue import Reservation
@@ -35,7 +35,7 @@
 class Delivery:
     """Forwards one request until it has its final answer."""
 
-    def __init__(self, kit: Kit, call: Call, sink: Sink):
+    def __init__(self, kit: Kit, call: Call, sink: ResponseSink):
         self._kit = kit
         self._call = call
         self._sink = sink
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -16,7 +16,7 @@
 from jasminerelay import rendezvous
 from jasminerelay.epidemic import EpidemicBroadcast
 from jasminerelay.eventlog import EventLog
-from jasminerelay.exchange import Head
+from jasminerelay.exchange import ResponseHead
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.messages import (
     LimitAsk,
@@ -97,7 +97,7 @@
         self.send: Callable[[Member, LimitWord], None] = lambda to, _: None
         self.on_grant: Callable[[], None] = lambda: None
 
-    def on_response(self, server: str, head: Head) -> None:
+    def on_response(self, server: str, head: ResponseHead) -> None:
         """Handles the response head of a server to this instance's request."""
         if head.limit_fault:
             self._counters.incr("limit.unreadable")
--- a/src/jasminerelay/platform/headers.py
+++ b/src/jasminerelay/platform/headers.py
@@ -6,7 +6,7 @@
 
 from jasminerelay.catalog import BackendServer, Call, Prompt, PromptPart
 from jasminerelay.evacuation import MOVE_TIMEOUT_S, Copy
-from jasminerelay.exchange import Head, Sending
+from jasminerelay.exchange import OutgoingRequest, ResponseHead
 from jasminerelay.httpclient import HttpRequest, HttpResponse
 
 MS = 1000.0
@@ -133,11 +133,11 @@
 class PlatformDialect:
     """Encodes requests to backend servers and decodes their responses."""
 
-    def request_headers(self, sending: Sending) -> HeaderFields:
+    def request_headers(self, sending: OutgoingRequest) -> HeaderFields:
         """Returns all header fields of the request to a server."""
         call = sending.call
         fields = [(b"host", call.host.encode("latin-1")), *call.headers]
-        left_ms = max(1, int(sending.left_s * MS))
+        left_ms = max(1, int(sending.remaining_s * MS))
         fields += [
             (DEADLINE, str(left_ms).encode()),
             (_EXPECTED_SERVER, sending.server.name.encode()),
@@ -160,12 +160,12 @@
             fields.append((b"content-length", size))
         return fields
 
-    def head(self, status: int, headers: HeaderFields) -> Head:
+    def head(self, status: int, headers: HeaderFields) -> ResponseHead:
         """Parses the status and header fields of a server's response."""
         fields = {name.lower(): value for name, value in headers}
         connection = fields.get(b"connection", b"").lower()
         limit, limit_fault = _parse_rate_limit(fields.get(_RATE_LIMIT))
-        return Head(
+        return ResponseHead(
             status,
             tuple(
                 item for item in headers if item[0].lower() not in _NOT_RETURNED
--- a/tests/limitworld.py
+++ b/tests/limitworld.py
@@ -3,7 +3,7 @@
 import anyio
 
 from jasminerelay import serverlimits
-from jasminerelay.exchange import Head
+from jasminerelay.exchange import ResponseHead
 from jasminerelay.limitwatch import LimitWatch
 from tests.instanceworld import InstanceWorld, Node, Quiet
 
@@ -136,6 +136,6 @@
 
     async def _respond(self, node: Node, server: str, limit) -> None:
         await anyio.sleep(RESPONSE_S)
-        head = Head(200, (), False, "", False, None, False, limit)
+        head = ResponseHead(200, (), False, "", False, None, False, limit)
         if node.alive:
             node.watch.on_response(server, head)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,7 @@
 
 from jasminerelay.catalog import BackendServer, RepeatPolicy
 from jasminerelay.eventlog import EventLog
-from jasminerelay.exchange import Sending
+from jasminerelay.exchange import OutgoingRequest
 from jasminerelay.httpclient import HttpResponse
 from jasminerelay.platform import bootfile, deployfile, documents, headers
 from standins.launcher import ROOT
@@ -269,7 +269,7 @@
             ],
         )
         self.assertTrue(head.not_run and head.closing)
-        self.assertEqual(head.idle_s, 5.0)
+        self.assertEqual(head.idle_timeout_s, 5.0)
         self.assertEqual(head.headers, ((b"Server-Signature", b"s"),))
 
     def test_source_of_the_cached_prefix(self) -> None:
@@ -283,10 +283,14 @@
         here = BackendServer("a", "pool", "1.1.1.1:1", "z", 1, False)
         there = BackendServer("b", "pool", "2.2.2.2:2", "z", 1, False)
         fields = dict(
-            dialect.request_headers(Sending(call(), here, 1.0, source=there))
+            dialect.request_headers(
+                OutgoingRequest(call(), here, 1.0, source=there)
+            )
         )
         self.assertEqual(fields[b"kv-fetch"], b"2.2.2.2:2")
-        fields = dict(dialect.request_headers(Sending(call(), here, 1.0)))
+        fields = dict(
+            dialect.request_headers(OutgoingRequest(call(), here, 1.0))
+        )
         self.assertNotIn(b"kv-fetch", fields)
 
     def test_move(self) -> None:
