--- a/src/jasminerelay/fencing.py
+++ b/src/jasminerelay/fencing.py
@@ -116,7 +116,7 @@
             return False
         return now - self._seen_at >= self._lease_s + self._order_timeout_s
 
-    def wrote(self, version: int, started: float) -> None:
+    def record_write(self, version: int, started: float) -> None:
         """Records a successful write of this instance.
 
         Args:
--- a/src/jasminerelay/leasing.py
+++ b/src/jasminerelay/leasing.py
@@ -145,6 +145,6 @@
 
     def _record_write(self, version: int, started: float, held: bool) -> None:
         self._unconfirmed.clear()
-        self.lease.wrote(version, started)
+        self.lease.record_write(version, started)
         if not held and self.holds:
             self.on_taken()
--- a/tests/test_placements.py
+++ b/tests/test_placements.py
@@ -42,7 +42,7 @@
                 started = now
                 version += 1
                 now += freeze
-                lease.wrote(version, started)
+                lease.record_write(version, started)
             for holder_index, other_lease in enumerate(leases):
                 if other_lease.may_order(now):
                     orders.append((now, holder_index))
@@ -51,7 +51,7 @@
 
     def test_lease_counts_from_before_the_write(self) -> None:
         lease = Lease(LEASE_S, ORDER_S)
-        lease.wrote(1, started=0.0)
+        lease.record_write(1, started=0.0)
         self.assertTrue(lease.may_order(5.0))
         self.assertFalse(lease.may_order(6.5))
         self.assertFalse(lease.holds(8.5))
