--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -20,6 +20,7 @@
 from bench import figures
 from bench.inputs import MODELS, make_cell, make_queued_request, manifest_text
 from jasminerelay import burn, manifest
+from jasminerelay.adoptedmanifest import AdoptedManifest
 from jasminerelay.broker import Broker
 from jasminerelay.membership import ALIVE, Membership
 from jasminerelay.metrics import Counters, InvariantHandler
@@ -38,7 +39,6 @@
     Release,
 )
 from jasminerelay.schema.settings import Statsd
-from jasminerelay.spread import Spread
 from jasminerelay.watchdog import Watchdog
 
 PROBES = 400
@@ -307,7 +307,7 @@
     pointer = ManifestPointer(1, manifest.digest_of(text))
 
     def adopt() -> None:
-        adopted = Spread().adopt(pointer, text)
+        adopted = AdoptedManifest().adopt(pointer, text)
         if not adopted:
             raise ValueError("the generated manifest was not adopted")
 
--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -32,7 +32,7 @@
     "SharedRetryBudget": "sharedbudget",
     "Signer": "resume",
     "ServerSplit": "groups",
-    "Spread": "spread",
+    "AdoptedManifest": "adoptedmanifest",
     "State": "outcome",
     "Stragglers": "stragglers",
     "Tier": "fairqueue",
--- a/src/jasminerelay/spread.py
+++ b/src/jasminerelay/adoptedmanifest.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Accepted:
+class ManifestVersion:
     """An accepted manifest.
 
     Attributes:
@@ -32,11 +32,11 @@
         return ManifestPointer(self.version, self.digest)
 
 
-class Spread:
+class AdoptedManifest:
     """The manifest in force on one instance."""
 
     def __init__(self) -> None:
-        self.current: Accepted | None = None
+        self.current: ManifestVersion | None = None
 
     @property
     def pointer(self) -> ManifestPointer:
@@ -45,7 +45,7 @@
             return ManifestPointer(INITIAL_VERSION, "")
         return self.current.pointer
 
-    def wants(self, pointer: ManifestPointer) -> bool:
+    def is_newer(self, pointer: ManifestPointer) -> bool:
         """Returns whether a pointer refers to a newer manifest."""
         return pointer.version > self.pointer.version
 
@@ -56,10 +56,10 @@
             InvariantError: if one version has two digests.
         """
         self.check_digest(pointer)
-        if not self.wants(pointer):
+        if not self.is_newer(pointer):
             return False
-        read = read_accepted(pointer, body)
-        return read is not None and self.take(read)
+        read = read_version(pointer, body)
+        return read is not None and self.adopt_parsed(read)
 
     def check_digest(self, pointer: ManifestPointer) -> None:
         """Checks a pointer against the digest of the manifest in force.
@@ -74,15 +74,15 @@
                 f" {held.digest} and {pointer.digest}"
             )
 
-    def take(self, accepted: Accepted) -> bool:
+    def adopt_parsed(self, accepted: ManifestVersion) -> bool:
         """Adopts a parsed manifest if it is newer; returns whether it did."""
-        if not self.wants(accepted.pointer):
+        if not self.is_newer(accepted.pointer):
             return False
         self.current = accepted
         return True
 
 
-def read_accepted(pointer: ManifestPointer, body: str) -> Accepted | None:
+def read_version(pointer: ManifestPointer, body: str) -> ManifestVersion | None:
     """Parses a manifest; None if it is invalid or does not match the digest.
 
     A peer or the store may return a truncated text, which the digest detects,
@@ -94,4 +94,6 @@
     parsed = manifest.parse(body, f"manifest {pointer.version}")
     if parsed.is_err():
         return None
-    return Accepted(pointer.version, pointer.digest, body, parsed.unwrap())
+    return ManifestVersion(
+        pointer.version, pointer.digest, body, parsed.unwrap()
+    )
--- a/src/jasminerelay/manifestmanager.py
+++ b/src/jasminerelay/manifestmanager.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from jasminerelay import manifest
+from jasminerelay.adoptedmanifest import AdoptedManifest, read_version
 from jasminerelay.errors import (
     RAN_UNKNOWN,
     CheckError,
@@ -19,7 +20,6 @@
 from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.schema.messages import ManifestPointer, ManifestReply
 from jasminerelay.schema.settings import Timing
-from jasminerelay.spread import Spread, read_accepted
 from jasminerelay.store import ABSENT, Objects, Row, Table, Write
 
 _log = logging.getLogger(__name__)
@@ -76,7 +76,7 @@
             anyio.create_memory_object_stream(64)
         )
         self._newest = ManifestReply(0, "")
-        self.adopted = Spread()
+        self.adopted = AdoptedManifest()
 
     @property
     def directory(self) -> manifest.Directory | None:
@@ -95,7 +95,7 @@
             pointer: Manifest that the peer has.
             address: Address of the peer.
         """
-        if not self.adopted.wants(pointer):
+        if not self.adopted.is_newer(pointer):
             return
         try:
             self._pointer_sink.send_nowait((pointer, address))
@@ -160,7 +160,7 @@
         if row is None:
             return
         pointer = ManifestPointer(row.version, _value(row).digest)
-        if not self.adopted.wants(pointer):
+        if not self.adopted.is_newer(pointer):
             return
         body = await self._objects.get(_object_key(pointer.digest))
         if body is not None:
@@ -183,7 +183,7 @@
     async def _fetch_from_peer(
         self, pointer: ManifestPointer, address: str
     ) -> None:
-        if not self.adopted.wants(pointer):
+        if not self.adopted.is_newer(pointer):
             return
         reply = await self._fetch_peer(address, pointer)
         if reply is None or reply.version < pointer.version:
@@ -200,7 +200,7 @@
         except InvariantError as exc:
             self._invariants.report(exc)
             return
-        if not self.adopted.wants(pointer):
+        if not self.adopted.is_newer(pointer):
             return
         if manifest.digest_of(body) != pointer.digest:
             self._counters.incr("manifest.rejected")
@@ -213,8 +213,8 @@
             self._on_verified(pointer)
         # Parsed in a thread: a large manifest would block the event loop, and
         # with it all token streams, for a quarter of a second.
-        accepted = await anyio.to_thread.run_sync(read_accepted, pointer, body)
-        if accepted is None or not self.adopted.take(accepted):
+        accepted = await anyio.to_thread.run_sync(read_version, pointer, body)
+        if accepted is None or not self.adopted.adopt_parsed(accepted):
             self._counters.incr("manifest.rejected")
             return
         self._counters.incr("manifest.adopted")
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -116,14 +116,14 @@
     ),
     Safeguard(
         "manifest versions never decrease",
-        "spread",
+        "adoptedmanifest",
         "return pointer.version > self.pointer.version",
         "return pointer.version != self.pointer.version",
         "test_parsers.SpreadTest.test_only_forward_and_only_whole",
     ),
     Safeguard(
         "a manifest must match its digest",
-        "spread",
+        "adoptedmanifest",
         "if manifest.digest_of(body) != pointer.digest:",
         "if False:",
         "test_parsers.SpreadTest.test_only_forward_and_only_whole",
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -86,7 +86,7 @@
         "scaling",
         "sharedbudget",
         "responsemonitor",
-        "spread",
+        "adoptedmanifest",
         "sse",
         "stopping",
         "stragglers",
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -8,10 +8,10 @@
 
 from jasminerelay import manifest, modelrequests, sse
 from jasminerelay import settings as settings_module
+from jasminerelay.adoptedmanifest import AdoptedManifest
 from jasminerelay.errors import RelayError
 from jasminerelay.resume import ResumePoint, Signer
 from jasminerelay.schema.messages import EntryFrame, Gossip
-from jasminerelay.spread import Spread
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 FUZZ = settings(max_examples=200, derandomize=True, deadline=None)
@@ -125,7 +125,7 @@
     )
     def test_only_forward_and_only_whole(self, offers) -> None:
         base = (EXAMPLES / "teixeira.toml").read_text()
-        spread = Spread()
+        spread = AdoptedManifest()
         highest = 0
         for version, damaged in offers:
             body = base + f"\n# {version}\n"
