--- a/src/jasminerelay/callers.py
+++ b/src/jasminerelay/callers.py
@@ -65,7 +65,7 @@
         completions: Serves model requests.
         services: Serves calls of plain services.
         signer: Verifies and parses resume points and return tickets.
-        replies: Dependencies of the HTTP responses.
+        responses: Dependencies of the HTTP responses.
     """
 
     directory: Callable[[], Directory | None]
@@ -74,7 +74,7 @@
     completions: Completions
     services: ServiceCalls
     signer: Signer
-    replies: ReplyKit
+    responses: ReplyKit
 
 
 class Application:
@@ -204,8 +204,8 @@
         else:
             answer = self._front.completions.start(parsed, placement)
         if parsed.stream:
-            return StreamResponse(self._front.replies, answer, parsed)
-        return WholeResponse(self._front.replies, answer, parsed)
+            return StreamResponse(self._front.responses, answer, parsed)
+        return WholeResponse(self._front.responses, answer, parsed)
 
     async def service(self, request: Request) -> Response:
         """Forwards a call to a plain service."""
@@ -227,7 +227,7 @@
             service.name,
             time.time(),
         )
-        with self._front.replies.progress:
+        with self._front.responses.progress:
             reply = await self._front.services.serve(
                 ServiceRequest(
                     organisation,
@@ -262,13 +262,13 @@
     async def error(self, request: Request, exc: RelayError) -> Response:
         """Converts a RelayError into a response."""
         del request
-        self._front.replies.counters.incr(f"answer.{exc.code}")
+        self._front.responses.counters.incr(f"answer.{exc.code}")
         return error_response(exc)
 
     async def disconnected(self, request: Request, exc: Exception) -> Response:
         """Handles a caller that disconnected while sending its request."""
         del request, exc
-        self._front.replies.counters.incr("caller.gone_early")
+        self._front.responses.counters.incr("caller.gone_early")
         return Response(status_code=400)
 
     def _authenticate(self, request: Request) -> tuple[Directory, Organisation]:
@@ -282,14 +282,14 @@
         return directory, organisation
 
     async def _read_body(self, request: Request) -> bytes:
-        limit = self._front.replies.bounds.max_body_bytes
+        limit = self._front.responses.bounds.max_body_bytes
         declared = request.headers.get("content-length", "0")
         if declared.isdigit() and int(declared) > limit:
             raise TooLargeError(f"the request body exceeds {limit} bytes")
         parts: list[bytes] = []
         size = 0
         try:
-            with anyio.fail_after(self._front.replies.bounds.body_timeout_s):
+            with anyio.fail_after(self._front.responses.bounds.body_timeout_s):
                 async for part in request.stream():
                     size += len(part)
                     if size > limit:
