--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Kit:
+class ForwardingContext:
     """Dependencies of forwarding.
 
     Attributes:
@@ -73,7 +73,7 @@
         queue: Queue in which requests wait for a placement.
         channels: Connections to servers.
         dialect: Translates to and from the servers' HTTP interface.
-        evacuator: Moves streams from servers that shut down.
+        stream_migrator: Moves streams from servers that shut down.
         budget: Retry budget.
         crashes: Records of requests that crash servers.
         limits: Rate limits that servers announce.
@@ -91,7 +91,7 @@
     queue: RequestPlacer
     channels: ChannelPool
     dialect: Dialect
-    evacuator: Evacuator
+    stream_migrator: Evacuator
     budget: SharedRetryBudget
     crashes: CrashWatch
     limits: LimitWatch
@@ -104,11 +104,11 @@
 
 
 @dataclasses.dataclass
-class Progress:
+class RequestProgress:
     """Progress of a request over all its attempts.
 
     Attributes:
-        last_event: Id of the last event that was sent to the caller.
+        last_event_id: Id of the last event that was sent to the caller.
         events: Number of events sent to the caller.
         first_at: Monotonic time of the first event; 0 before it.
         pause_s: Longest pause between two events.
@@ -122,7 +122,7 @@
         output: Tokens of a complete stream; 0 before its end.
     """
 
-    last_event: str
+    last_event_id: str
     events: int = 0
     first_at: float = 0.0
     pause_s: float = 0.0
@@ -146,7 +146,11 @@
     """Sends a request to one server."""
 
     def __init__(
-        self, kit: Kit, call: Call, sink: ResponseSink, progress: Progress
+        self,
+        kit: ForwardingContext,
+        call: Call,
+        sink: ResponseSink,
+        progress: RequestProgress,
     ):
         self._kit = kit
         self._call = call
@@ -187,7 +191,7 @@
             self._call,
             server,
             left_s,
-            after=self._progress.last_event,
+            after=self._progress.last_event_id,
             copy=copy,
             source=reservation.placed.source,
         )
@@ -280,7 +284,7 @@
         done: "_Completion",
     ) -> Outcome:
         server = channel.server
-        leaving_event = self._kit.evacuator.attach(server.id)
+        leaving_event = self._kit.stream_migrator.attach(server.id)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._move_when_leaving, server, leaving_event)
@@ -292,7 +296,7 @@
                     await move_ended.wait()
                 group.cancel_scope.cancel()
         finally:
-            self._kit.evacuator.detach(server.id, leaving_event)
+            self._kit.stream_migrator.detach(server.id, leaving_event)
         if isinstance(outcome, Delivered):
             await response.aclose()
             done.head = head
@@ -380,7 +384,7 @@
         self._move_ended = anyio.Event()
         self._progress.moves += 1
         try:
-            self._progress.copy = await self._kit.evacuator.move(
+            self._progress.copy = await self._kit.stream_migrator.move(
                 self._call, server, reservation.placed.server
             )
         finally:
@@ -399,7 +403,7 @@
         self._progress.events += len(events)
         for event in reversed(events):
             if event.id:
-                self._progress.last_event = event.id.decode("latin-1")
+                self._progress.last_event_id = event.id.decode("latin-1")
                 break
         await self._sink.send(b"".join(event.data for event in events))
 
@@ -437,7 +441,11 @@
     """Measures the latencies of one stream."""
 
     def __init__(
-        self, kit: Kit, call: Call, reservation: Reservation, sent_at: float
+        self,
+        kit: ForwardingContext,
+        call: Call,
+        reservation: Reservation,
+        sent_at: float,
     ):
         self._kit = kit
         self._call = call
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -6,7 +6,7 @@
 import anyio
 
 from jasminerelay import fingerprint
-from jasminerelay.attempt import OK, Attempt, Kit, Progress
+from jasminerelay.attempt import OK, Attempt, ForwardingContext, RequestProgress
 from jasminerelay.catalog import BackendServer, Call, RepeatPolicy
 from jasminerelay.errors import CrashingRequestError, NoRoomError
 from jasminerelay.exchange import (
@@ -35,11 +35,11 @@
 class Delivery:
     """Forwards one request until it has its final answer."""
 
-    def __init__(self, kit: Kit, call: Call, sink: ResponseSink):
+    def __init__(self, kit: ForwardingContext, call: Call, sink: ResponseSink):
         self._kit = kit
         self._call = call
         self._sink = sink
-        self._progress = Progress(call.last_event_id)
+        self._progress = RequestProgress(call.last_event_id)
         self._attempt = Attempt(kit, call, sink, self._progress)
         self._unsent_attempts = 0
         self._not_run_attempts = 0
--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from jasminerelay.attempt import Kit
+from jasminerelay.attempt import ForwardingContext
 from jasminerelay.catalog import Call, Catalog, RequestLimits, Route
 from jasminerelay.errors import (
     BadRequestError,
@@ -39,7 +39,7 @@
         log: Event log.
     """
 
-    kit: Kit
+    kit: ForwardingContext
     catalog: Callable[[], Catalog | None]
     is_current: Callable[[], bool]
     stopping: Callable[[], bool]
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -13,7 +13,7 @@
 import anyio
 
 from jasminerelay import entrylist, headbound, ports, stopsignals
-from jasminerelay.attempt import Kit
+from jasminerelay.attempt import ForwardingContext
 from jasminerelay.catalog import Catalog, RequestLimits
 from jasminerelay.channels import ChannelPool
 from jasminerelay.crashwatch import CrashWatch
@@ -365,7 +365,7 @@
         self._registry_feed.on_leaving = evacuator.leaving
         self._registry_feed.on_removed = self._on_server_removed
         self._registry_feed.on_changed = self._peers.notify_dependents
-        kit = Kit(
+        kit = ForwardingContext(
             self.dispatcher,
             self._placement_client,
             self._channels,
