--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -31,17 +31,17 @@
     """Parts of the instance that serve callers' requests.
 
     Attributes:
-        kit: Components that forward requests.
+        forwarding: Components that forward requests.
         catalog: Returns the configuration in force; None before the first.
-        is_current: Returns whether that configuration is confirmed as current.
+        configuration_confirmed: Returns whether that configuration is confirmed as current.
         stopping: Returns whether the instance is shutting down.
         accepts: Returns whether a request with this time limit is accepted.
         log: Event log.
     """
 
-    kit: ForwardingContext
+    forwarding: ForwardingContext
     catalog: Callable[[], Catalog | None]
-    is_current: Callable[[], bool]
+    configuration_confirmed: Callable[[], bool]
     stopping: Callable[[], bool]
     accepts: Callable[[float], bool]
     log: EventLog
@@ -75,7 +75,7 @@
                 path=scope["path"],
                 status=exc.status,
                 why=exc.message,
-                **self._context.kit.versions(),
+                **self._context.forwarding.versions(),
             )
             await sink.refuse(exc.status, str(exc), exc.retry_s)
         except Exception:
@@ -94,7 +94,7 @@
         call = self._call(scope, body, arrived)
         if not self._context.accepts(call.answer_deadline - arrived):
             raise NotReadyError("this instance is shutting down", retry_s=0.05)
-        delivery = Delivery(self._context.kit, call, sink)
+        delivery = Delivery(self._context.forwarding, call, sink)
         async with anyio.create_task_group() as group:
             group.start_soon(
                 _cancel_on_disconnect, receive, sink, group.cancel_scope
@@ -151,7 +151,7 @@
         return Call(
             attempt_id,
             route,
-            route.pick_service(self._context.kit.rng),
+            route.pick_service(self._context.forwarding.rng),
             rank,
             catalog.is_urgent(rank, route),
             holder.name if holder else "",
@@ -170,7 +170,7 @@
         # An instance without contact to the store may lack a route or key
         # that was added recently. Callers treat "not found" and "unknown key"
         # as final, so an unconfirmed configuration gets "not ready" instead.
-        if not self._context.is_current():
+        if not self._context.configuration_confirmed():
             raise NotReadyError(
                 f"{why}, and the configuration is not confirmed",
                 retry_s=RETRY_S,
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -392,7 +392,7 @@
     Safeguard(
         "not found only with a current configuration",
         "platform/ingress",
-        "if not self._context.is_current():",
+        "if not self._context.configuration_confirmed():",
         "if False:",
         "test_platforminstances.StoreOutageTest.test_unknown_route_without_store",
     ),
