--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -22,7 +22,7 @@
     burn,
     callers,
     entrylist,
-    headbound,
+    headlimits,
     membership,
     operators,
     peers,
@@ -465,8 +465,8 @@
         self._callers_port = ports.port(
             callers.Application(self._frontend_context),
             self.cfg.listen.callers,
-            http=headbound.bounded(
-                lambda: headbound.HeadBounds(bounds.max_header_bytes)
+            http=headlimits.limited_protocol(
+                lambda: headlimits.HeadLimits(bounds.max_header_bytes)
             ),
         )
         tls = self.cfg.tls
--- a/src/jasminerelay/headbound.py
+++ b/src/jasminerelay/headlimits.py
@@ -30,21 +30,23 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HeadBounds:
+class HeadLimits:
     """Limits on a caller's request heads and idle connections.
 
     Attributes:
         head_bytes: Maximum size of a request head.
-        head_s: Maximum time from the first byte of a head to its last.
-        idle_s: Maximum time that a connection may be open without a request.
+        head_timeout_s: Maximum time from the first byte of a head to its last.
+        idle_timeout_s: Maximum time that a connection may be open without a request.
     """
 
     head_bytes: int
-    head_s: float = HEAD_TIMEOUT_S
-    idle_s: float = ports.KEEPALIVE_S
+    head_timeout_s: float = HEAD_TIMEOUT_S
+    idle_timeout_s: float = ports.KEEPALIVE_S
 
 
-def bounded(bounds: Callable[[], HeadBounds]) -> type[HttpToolsProtocol]:
+def limited_protocol(
+    bounds: Callable[[], HeadLimits],
+) -> type[HttpToolsProtocol]:
     """Returns a uvicorn protocol class that enforces the limits.
 
     A head that is too large is answered with 400, one that is too slow with
@@ -71,7 +73,7 @@
             # a connection on which nothing is ever sent would stay open for
             # good.
             self.timeout_keep_alive_task = self.loop.call_later(
-                self._bounds.idle_s, self.timeout_keep_alive_handler
+                self._bounds.idle_timeout_s, self.timeout_keep_alive_handler
             )
 
         def connection_lost(self, exc: Exception | None) -> None:
@@ -91,7 +93,7 @@
             self._in_head = True
             self._bounds = bounds()
             self._timeout_timer = self.loop.call_later(
-                self._bounds.head_s, self._reject_too_slow
+                self._bounds.head_timeout_s, self._reject_too_slow
             )
             super().on_message_begin()
 
@@ -107,7 +109,7 @@
             super().on_headers_complete()
 
         def on_response_complete(self) -> None:
-            self.timeout_keep_alive = bounds().idle_s
+            self.timeout_keep_alive = bounds().idle_timeout_s
             super().on_response_complete()
 
         def _head_ended(self) -> None:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from jasminerelay import entrylist, headbound, ports, stopsignals
+from jasminerelay import entrylist, headlimits, ports, stopsignals
 from jasminerelay.attempt import ForwardingContext
 from jasminerelay.catalog import Catalog, RequestLimits
 from jasminerelay.channels import ChannelPool
@@ -24,7 +24,7 @@
 from jasminerelay.eventlog import EventLog, EventLogHandler
 from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness, now_s
-from jasminerelay.headbound import HeadBounds
+from jasminerelay.headlimits import HeadLimits
 from jasminerelay.httpclient import HttpClient
 from jasminerelay.limitwatch import LimitWatch
 from jasminerelay.membership import LEAVING
@@ -398,7 +398,7 @@
         options = {
             "server_header": False,
             "date_header": False,
-            "http": headbound.bounded(self._request_head_bounds),
+            "http": headlimits.limited_protocol(self._request_head_bounds),
         }
         self._callers_port = ports.port(Ingress(front), boot.callers, **options)
         self._ports = [
@@ -412,10 +412,10 @@
             address = f"{boot.ip}:{metrics_port}"
             self._ports.append(ports.port(status, address, **options))
 
-    def _request_head_bounds(self) -> HeadBounds:
+    def _request_head_bounds(self) -> HeadLimits:
         catalog = self.registry.catalog
         bounds = catalog.bounds if catalog else RequestLimits()
-        return HeadBounds(
+        return HeadLimits(
             bounds.head_bytes, bounds.head_timeout_s, bounds.idle_timeout_s
         )
 
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -291,7 +291,7 @@
     ),
     Safeguard(
         "the request head is bounded",
-        "headbound",
+        "headlimits",
         "if self._field_bytes > self._bounds.head_bytes:",
         "if False:",
         "test_callers.BadInputTest.test_large_head",
@@ -435,7 +435,7 @@
     ),
     Safeguard(
         "a request head that is too slow is rejected",
-        "headbound",
+        "headlimits",
         "                self.transport.write(_TIMEOUT_RESPONSE)\n"
         "                self.transport.close()\n",
         "                pass\n",
@@ -443,8 +443,8 @@
     ),
     Safeguard(
         "a connection without a request is closed",
-        "headbound",
-        "self._bounds.idle_s, self.timeout_keep_alive_handler",
+        "headlimits",
+        "self._bounds.idle_timeout_s, self.timeout_keep_alive_handler",
         "1e6, self.timeout_keep_alive_handler",
         "test_platforminstances.SlowCallerTest.test_times_of_the_configuration",
     ),
