--- a/src/jasminerelay/admission.py
+++ b/src/jasminerelay/admission.py
@@ -32,7 +32,7 @@
         service_s: Time from its placement to its end.
         remaining_s: Time until its deadline.
         first_s: Time from its placement to its first event.
-        patience_s: Time after which its caller disconnects if no event has
+        caller_idle_timeout_s: Time after which its caller disconnects if no event has
             come.
     """
 
@@ -40,7 +40,7 @@
     service_s: float
     remaining_s: float
     first_s: float = 0.0
-    patience_s: float = math.inf
+    caller_idle_timeout_s: float = math.inf
 
     @property
     def overrun_s(self) -> float:
@@ -54,7 +54,9 @@
             self.queue_delay_s
             + self.service_s
             - self.remaining_s * MARGIN_SHARE,
-            self.queue_delay_s + self.first_s - self.patience_s * MARGIN_SHARE,
+            self.queue_delay_s
+            + self.first_s
+            - self.caller_idle_timeout_s * MARGIN_SHARE,
         )
 
     @property
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -603,7 +603,7 @@
     Safeguard(
         "the callers' deadlines bound the queueing delay",
         "admission",
-        "self.queue_delay_s + self.first_s - self.patience_s * MARGIN_SHARE,",
+        "self.queue_delay_s + self.first_s - self.caller_idle_timeout_s * MARGIN_SHARE,",
         "0.0,",
         "test_waitingroom.QueueTest.test_refuses_callers_who_would_disconnect",
     ),
--- a/tests/test_waitingroom.py
+++ b/tests/test_waitingroom.py
@@ -126,9 +126,13 @@
     def test_refuses_callers_who_would_disconnect(self) -> None:
         # There is time for the whole answer, but its caller disconnects after
         # three seconds without an event, so the prefill would be wasted.
-        estimate = WaitEstimate(2.9, 1.0, 15.0, first_s=0.3, patience_s=3.0)
+        estimate = WaitEstimate(
+            2.9, 1.0, 15.0, first_s=0.3, caller_idle_timeout_s=3.0
+        )
         self.assertTrue(estimate.too_late)
-        longer_patience = dataclasses.replace(estimate, patience_s=4.0)
+        longer_patience = dataclasses.replace(
+            estimate, caller_idle_timeout_s=4.0
+        )
         self.assertFalse(longer_patience.too_late)
 
     def test_retry_after_is_bounded(self) -> None:
