--- a/tests/instanceworld.py
+++ b/tests/instanceworld.py
@@ -51,7 +51,7 @@
     def info(self, event: str, **fields: object) -> None:
         """Accepts an event."""
 
-    trouble = info
+    warn = info
 
     def incr(self, name: str) -> None:
         """Counts an event."""
