--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -22,7 +22,7 @@
             self.usage[name] = max(self.usage.get(name, 0.0), self.level)
         self.items.append(item)
 
-    def next(self):
+    def peek(self):
         counts = {
             item.organisation: sum(
                 other.organisation == item.organisation for other in self.items
@@ -74,7 +74,7 @@
             if not take:
                 continue
             chosen = tier.peek()
-            self.assertEqual(chosen, reference.next())
+            self.assertEqual(chosen, reference.peek())
             tier.remove(chosen)
             reference.items.remove(chosen)
             tier.charge(chosen.organisation, float(tokens), 1.0)
