--- a/tests/test_staleversions.py
+++ b/tests/test_staleversions.py
@@ -79,7 +79,7 @@
         async def scenario(world: World) -> None:
             for node in list(world.nodes.values()):
                 self.disconnect(world, [node])
-                world.store.configure()
+                world.store.write_configuration()
                 await anyio.sleep(MAX_CHANGE_DELAY_S)
                 self.assert_newest_configuration(world, world.nodes.values())
                 node.linked, node.linked_since = True, now()
@@ -101,7 +101,7 @@
             for node in part:
                 world.leave_calls_unanswered(node)
                 node.part, node.joined_at = 1, now()
-            world.store.configure()
+            world.store.write_configuration()
             await anyio.sleep(MAX_CHANGE_DELAY_S)
             self.assert_newest_configuration(world, world.nodes.values())
 
@@ -117,15 +117,15 @@
             for node in part:
                 node.part, node.joined_at = 1, now()
             await anyio.sleep(MAX_CHANGE_DELAY_S)
-            self.assertFalse(any(node.current for node in part))
-            world.store.configure()
+            self.assertFalse(any(node.configuration_confirmed for node in part))
+            world.store.write_configuration()
             await anyio.sleep(MAX_CHANGE_DELAY_S)
             for node in part:
                 node.part, node.joined_at = 0, now()
                 node.linked, node.linked_since = True, now()
             await anyio.sleep(MAX_DELAY_AFTER_RETURN_S)
             self.assert_newest_configuration(world, world.nodes.values())
-            self.assertTrue(all(node.current for node in part))
+            self.assertTrue(all(node.configuration_confirmed for node in part))
 
         self.simulate(scenario)
         self.simulate(scenario, 30)
@@ -140,7 +140,7 @@
                 "z1", [node.name for node in group]
             )
             self.disconnect(world, [world.nodes[name] for name in names])
-            world.store.configure()
+            world.store.write_configuration()
             await anyio.sleep(MAX_CHANGE_DELAY_S)
             self.assert_newest_configuration(world, world.nodes.values())
 
@@ -158,12 +158,12 @@
             started_node = world.start("z1")
             await anyio.sleep(MAX_CHANGE_DELAY_S)
             self.assertTrue(started_node.version)
-            self.assertFalse(started_node.current)
+            self.assertFalse(started_node.configuration_confirmed)
             world.store.up, world.store.up_since = True, now()
-            world.store.configure()
+            world.store.write_configuration()
             await anyio.sleep(MAX_DELAY_AFTER_RETURN_S)
             self.assert_newest_configuration(world, world.nodes.values())
-            self.assertTrue(started_node.current)
+            self.assertTrue(started_node.configuration_confirmed)
 
         self.simulate(scenario)
 
@@ -180,7 +180,7 @@
             node.scope.cancel()
             await anyio.sleep(MAX_CHANGE_DELAY_S)
             node.process_message(other, old)
-            self.assertFalse(node.current)
+            self.assertFalse(node.configuration_confirmed)
 
         self.simulate(scenario)
 
--- a/tests/versionworld.py
+++ b/tests/versionworld.py
@@ -78,13 +78,13 @@
         self.accepted: list[tuple[float, int]] = []
         self._changed = anyio.Event()
 
-    def configure(self) -> None:
+    def write_configuration(self) -> None:
         """Accepts a new configuration."""
         self.configuration += 1
         self._put("op", "config", str(self.configuration).encode())
         self.accepted.append((now(), self.configuration))
 
-    def register(self, name: str) -> None:
+    def write_server_row(self, name: str) -> None:
         """Accepts a server's row."""
         self._put("servers", name, b"pool:ready")
 
@@ -169,7 +169,7 @@
             lambda data: types.SimpleNamespace(version=int(data)), decode
         )
         self.freshness = Freshness(TABLES)
-        self.standings = PeerStatusTable(self.registry, self.freshness)
+        self.peer_status = PeerStatusTable(self.registry, self.freshness)
         self.followers = FollowerRole(member.instance, member.zone)
         log, counters = silent_log(), Counters(Statsd())
         self.state = StoreMonitor(self.registry, self.freshness, log)
@@ -213,10 +213,10 @@
         return self.registry.catalog.version if self.registry.catalog else 0
 
     @property
-    def current(self) -> bool:
+    def configuration_confirmed(self) -> bool:
         """Whether the instance may give final refusals."""
         is_recent = self.freshness.age_s(now()) <= MAX_CONFIRMED_AGE_S
-        return is_recent and not self.standings.newer_configuration_reported(
+        return is_recent and not self.peer_status.newer_configuration_reported(
             now()
         )
 
@@ -249,9 +249,9 @@
 
     def process_message(self, sender: "Node", standing) -> None:
         """Processes a message."""
-        if self.standings.reports_store_loss(sender.name, standing):
+        if self.peer_status.reports_store_loss(sender.name, standing):
             self.state.check()
-        self.standings.record_report(sender.name, standing, now(), now())
+        self.peer_status.record_report(sender.name, standing, now(), now())
         if standing.touch:
             self.followers.record_message(sender.name, now())
 
@@ -272,7 +272,7 @@
             rounds += 1
             self.freshness.tick(now())
             live = self.world.seen_by(self)
-            lost = self.standings.without_store()
+            lost = self.peer_status.without_store()
             if self.state.lost:
                 lost.append(self.name)
             self.followers.update_instances(
@@ -290,7 +290,7 @@
             await self._catch_up()
 
     async def _catch_up(self) -> None:
-        name = self.standings.fetch_source(now())
+        name = self.peer_status.fetch_source(now())
         other = self.world.nodes.get(name or "")
         if other is None or other.part != self.part:
             return
@@ -329,7 +329,7 @@
 
     async def run(self) -> None:
         """Simulates the whole time."""
-        self.store.configure()
+        self.store.write_configuration()
         async with anyio.create_task_group() as group:
             self._group = group
             for number in range(self._count):
@@ -387,9 +387,9 @@
             if not self.store.up:
                 continue
             if self.rng.random() < 0.8:
-                self.store.configure()
+                self.store.write_configuration()
             else:
-                self.store.register(f"s{self.rng.randrange(4)}")
+                self.store.write_server_row(f"s{self.rng.randrange(4)}")
 
     async def _inject_faults(self) -> None:
         faults = (
@@ -406,7 +406,7 @@
         """Makes the store unresponsive or reject calls, and restores it."""
         # Most calls after a change are sent at the same moment.
         if self.rng.random() < 0.5:
-            self.store.configure()
+            self.store.write_configuration()
             await anyio.sleep(self.rng.uniform(0.0, 0.5))
         for node in self.nodes.values():
             self.leave_calls_unanswered(node)
@@ -414,7 +414,7 @@
         await anyio.sleep(self.rng.uniform(0.5, 7.0))
         self.store.up = True
         self.store.up_since = now()
-        self.store.configure()
+        self.store.write_configuration()
 
     async def _cut_off(self) -> None:
         """Cuts some instances off from the store, mostly followers."""
@@ -485,7 +485,7 @@
                 MAX_CONFIRMED_AGE_S,
                 f"at {now():.2f} s {node.name} lacks confirmation of its data",
             )
-        if node.current:
+        if node.configuration_confirmed:
             self._test.assertGreaterEqual(
                 node.version,
                 expected,
