--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -123,7 +123,7 @@
         """Gives all instances the current list of live ones."""
         live = self.live()
         for node in self.nodes.values():
-            node.asking.update_instances(100, live)
+            node.placement_client.update_instances(100, live)
             node.followers.update_instances(live, shared=True)
 
     async def publish_queues(self) -> None:
@@ -187,7 +187,7 @@
             self.dispatcher.lengths,
             self.counters,
         )
-        self.asking = PlacementClient(
+        self.placement_client = PlacementClient(
             name,
             self.member.peers,
             node_registry,
@@ -196,7 +196,7 @@
             self.counters,
         )
         self.owned.answer = self._send_answers
-        self.asking.send = self._send_update
+        self.placement_client.send = self._send_update
         model = self.dispatcher.engine_models.of(SERVICE)
         for tokens in (1_000, 4_000, 8_000, 16_000) * 3:
             model.read(tokens, FIRST_EVENT_S + tokens * READ_TOKEN_S, 0.0)
@@ -219,7 +219,9 @@
         if dropped or self.site.lose():
             return
         data = peerwords.encode(message)
-        self.site.nodes[to].asking.handle_message(peerwords.decode(data))
+        self.site.nodes[to].placement_client.handle_message(
+            peerwords.decode(data)
+        )
 
 
 def prompts(count: int, starts: int = 1000) -> Iterator[Call]:
@@ -249,7 +251,9 @@
         used = set()
         for node in site.nodes.values():
             node.dispatcher.engine_of = lambda service: None
-            node.asking.send = lambda owner, message: asked.append(owner)
+            node.placement_client.send = lambda owner, message: asked.append(
+                owner
+            )
             for number in range(4):
                 item = call(
                     f"{node.name}-{number}",
@@ -257,11 +261,11 @@
                     ends=time.monotonic() + 4.0,
                     prompt=None,
                 )
-                reservation = await node.asking.reserve_server(
+                reservation = await node.placement_client.reserve_server(
                     item, frozenset()
                 )
                 used.add(reservation.placed.server.id)
-            self.assertIsNone(node.asking.owner_of_server("i-000"))
+            self.assertIsNone(node.placement_client.owner_of_server("i-000"))
         self.assertEqual(asked, [])
         self.assertEqual(len(used), 3)
 
@@ -406,15 +410,15 @@
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
             for node in nodes:
-                group.start_soon(node.asking.run)
+                group.start_soon(node.placement_client.run)
                 group.start_soon(node.owned.run)
             for item in prompts(28, 1):
                 with anyio.move_on_after(1.0):
-                    reservation = await nodes[0].asking.reserve_server(
-                        item, frozenset()
-                    )
+                    reservation = await nodes[
+                        0
+                    ].placement_client.reserve_server(item, frozenset())
                     reservation.run.read(0.1)
-                    nodes[0].asking.capacity_freed(SERVICE)
+                    nodes[0].placement_client.capacity_freed(SERVICE)
                     reservations.append(reservation)
                 await anyio.sleep(BATCH_S * 2)
             for node, item in zip(nodes[1:21], prompts(20, 1), strict=True):
@@ -422,7 +426,7 @@
             await anyio.sleep(CHECK_INTERVAL_S)
             before = len(waiting)
             reservations[0].run.end()
-            nodes[0].asking.capacity_freed(SERVICE)
+            nodes[0].placement_client.capacity_freed(SERVICE)
             await _until(lambda: len(waiting) > before)
             await anyio.sleep(CHECK_INTERVAL_S)
             after = len(waiting)
@@ -445,7 +449,7 @@
         reservations: list[Reservation] = []
         async with anyio.create_task_group() as group:
             for node in nodes:
-                group.start_soon(node.asking.run)
+                group.start_soon(node.placement_client.run)
                 group.start_soon(node.owned.run)
             group.start_soon(site.publish_queues)
             for node, item in zip(nodes, prompts(8), strict=False):
@@ -476,7 +480,7 @@
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
             for node in nodes:
-                group.start_soon(node.asking.run)
+                group.start_soon(node.placement_client.run)
                 group.start_soon(node.owned.run)
             group.start_soon(site.publish_queues)
             for number, item in enumerate(prompts(60, 60)):
@@ -507,7 +511,7 @@
         )
         for item in items:
             since = time.monotonic()
-            await node.asking.reserve_server(item, frozenset())
+            await node.placement_client.reserve_server(item, frozenset())
             elapsed_s.append(time.monotonic() - since)
         self.assertGreaterEqual(elapsed_s[0], ANSWER_TIMEOUT_S)
         self.assertEqual(node.counters.snapshot()["place.owner_silent"], 1)
@@ -521,10 +525,10 @@
         nodes = list(site.nodes.values())
         async with anyio.create_task_group() as group:
             for node in nodes:
-                group.start_soon(node.asking.run)
+                group.start_soon(node.placement_client.run)
                 group.start_soon(node.owned.run)
             for node, item in zip(nodes, prompts(4), strict=False):
-                await node.asking.reserve_server(item, frozenset())
+                await node.placement_client.reserve_server(item, frozenset())
             owner = site.owner_of(0)
             site.crashed.add(owner.name)
             owner.counted_live = False
@@ -546,11 +550,11 @@
         nodes = list(site.nodes.values())
         live = [node.member for node in nodes if node is not site.owner_of(0)]
         for node in nodes[::2]:
-            node.asking.update_instances(100, live)
+            node.placement_client.update_instances(100, live)
         reservations: list[Reservation] = []
         async with anyio.create_task_group() as group:
             for node in nodes:
-                group.start_soon(node.asking.run)
+                group.start_soon(node.placement_client.run)
                 group.start_soon(node.owned.run)
             for number, item in enumerate(prompts(400, 50)):
                 group.start_soon(
@@ -579,8 +583,10 @@
         node = site.nodes["n00"]
         site.answers_lost.add("n00")
         async with anyio.create_task_group() as group:
-            group.start_soon(node.asking.run)
-            await node.asking.reserve_server(next(prompts(1)), frozenset())
+            group.start_soon(node.placement_client.run)
+            await node.placement_client.reserve_server(
+                next(prompts(1)), frozenset()
+            )
             owned = site.owner_of(0).owned
             await _until(lambda: _in_flight(owned) == 1)
             await anyio.sleep(2 * CHECK_INTERVAL_S)
@@ -592,7 +598,9 @@
         # close. The owner drops these requests after the time that this takes.
         site = Site(30, servers=4)
         node = site.nodes["n01"]
-        await node.asking.reserve_server(next(prompts(1)), frozenset())
+        await node.placement_client.reserve_server(
+            next(prompts(1)), frozenset()
+        )
         owned = site.owner_of(0).owned
         owned.tick(time.monotonic())
         self.assertEqual(_in_flight(owned), 1)
@@ -605,11 +613,13 @@
         site = Site(30, servers=1)
         node = site.nodes["n02"]
         async with anyio.create_task_group() as group:
-            group.start_soon(node.asking.run)
+            group.start_soon(node.placement_client.run)
             group.start_soon(node.owned.run)
             for item in prompts(6):
                 with anyio.move_on_after(0.01):
-                    await node.asking.reserve_server(item, frozenset())
+                    await node.placement_client.reserve_server(
+                        item, frozenset()
+                    )
             await _until(lambda: site.owner_of(0).owned.waiting == 0)
             group.cancel_scope.cancel()
 
@@ -618,12 +628,14 @@
         # refusal with a Retry-After time at once, as the request has not run.
         site = Site(30, servers=1)
         node = site.nodes["n03"]
-        await node.asking.reserve_server(next(prompts(1)), frozenset())
+        await node.placement_client.reserve_server(
+            next(prompts(1)), frozenset()
+        )
         now = time.monotonic()
         brief = next(prompts(1))
         brief = call("h", arrived=now, ends=now + 0.1, prompt=brief.prompt)
         with self.assertRaises(NoRoomError) as caught:
-            await node.asking.reserve_server(brief, frozenset())
+            await node.placement_client.reserve_server(brief, frozenset())
         self.assertIsNotNone(caught.exception.retry_s)
 
 
@@ -652,7 +664,7 @@
 async def _reserve(
     node: Node, item: Call, reservations: list | None = None
 ) -> None:
-    reservation = await node.asking.reserve_server(item, frozenset())
+    reservation = await node.placement_client.reserve_server(item, frozenset())
     if reservations is not None:
         reservations.append(reservation)
 
--- a/tests/test_ownersmodel.py
+++ b/tests/test_ownersmodel.py
@@ -60,7 +60,7 @@
         """Returns descriptions of the violations."""
         async with anyio.create_task_group() as group:
             for node in self._site.nodes.values():
-                group.start_soon(node.asking.run)
+                group.start_soon(node.placement_client.run)
                 group.start_soon(node.owned.run)
             for _ in range(STEPS):
                 self._step(group)
@@ -100,7 +100,9 @@
             # Only some instances get the new list of live instances.
             for node in self._site.nodes.values():
                 if self._rng.random() < 0.5:
-                    node.asking.update_instances(100, self._site.live())
+                    node.placement_client.update_instances(
+                        100, self._site.live()
+                    )
         elif event < 0.2:
             self._site.answers_lost ^= {
                 self._rng.choice(self._live_nodes()).name
@@ -122,18 +124,20 @@
         if run.first_s is None:
             if self._rng.random() < 0.4:
                 run.read(0.05)
-                request.node.asking.capacity_freed(SERVICE)
+                request.node.placement_client.capacity_freed(SERVICE)
         elif self._rng.random() < 0.2:
             run.end()
             request.ended = True
-            request.node.asking.capacity_freed(SERVICE)
+            request.node.placement_client.capacity_freed(SERVICE)
 
     async def _run_request(self, request: _Request) -> None:
         timeout_s = self._rng.choice((0.05, 60.0))
         with anyio.move_on_after(timeout_s) as scope:
             with contextlib.suppress(NoRoomError):
-                request.reservation = await request.node.asking.reserve_server(
-                    request.call, frozenset()
+                request.reservation = (
+                    await request.node.placement_client.reserve_server(
+                        request.call, frozenset()
+                    )
                 )
             request.refused = request.reservation is None
         request.left |= scope.cancelled_caught
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -33,7 +33,7 @@
 
     async def reserve(self) -> None:
         """Requests a placement for one request."""
-        reservation = await self.node.asking.reserve_server(
+        reservation = await self.node.placement_client.reserve_server(
             next(prompts(1)), frozenset()
         )
         self.reservations.append(reservation)
@@ -43,7 +43,9 @@
         for _ in range(times):
             for _, message in list(answers_sent):
                 data = peerwords.encode(message)
-                self.node.asking.handle_message(peerwords.decode(data))
+                self.node.placement_client.handle_message(
+                    peerwords.decode(data)
+                )
                 await anyio.sleep(0)
 
     def assert_one_run(self) -> None:
@@ -81,7 +83,7 @@
         # transit. The owner places it once and repeats its answer.
         self.hold_answers()
         async with anyio.create_task_group() as group:
-            group.start_soon(self.node.asking.run)
+            group.start_soon(self.node.placement_client.run)
             group.start_soon(self.reserve)
             await anyio.sleep(3 * placementclient.WAITING_UPDATE_INTERVAL_S)
             await self.deliver(self.answers_sent)
@@ -101,7 +103,7 @@
         self.hold_answers()
         former = self.site.owner_of(self.cell())
         async with anyio.create_task_group() as group:
-            group.start_soon(self.node.asking.run)
+            group.start_soon(self.node.placement_client.run)
             group.start_soon(self.reserve)
             await anyio.sleep(DELIVERY_WAIT_S)
             former.counted_live = False
