--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -161,7 +161,7 @@
 
     async def report(self, report: Report, fence: int) -> CallResult:
         """Reports the usage of a window."""
-        judge = self._simulation.judge
+        judge = self._simulation.checker
         return await self._call(
             lambda now, excused: judge.usage(
                 self._machine,
@@ -175,7 +175,7 @@
 
     async def order(self, order: Order, fence: int) -> CallResult:
         """Orders a number of servers."""
-        judge = self._simulation.judge
+        judge = self._simulation.checker
         place = (order.service, order.zone, order.preemptible)
         return await self._call(
             lambda now, excused: judge.scale(
@@ -223,7 +223,7 @@
     """Simulates one seed.
 
     Attributes:
-        judge: Checks what the platform has received.
+        checker: Checks what the platform has received.
         truth: Requests that servers started, by window and organisation.
         calls_lost: Fraction of the calls that are executed without a response.
         calls_late: Fraction of the calls that are executed later, without a
@@ -240,7 +240,7 @@
         checks_fences: bool = True,
     ):
         super().__init__(seed, count, faults=faults)
-        self.judge = DutyCallChecker(
+        self.checker = DutyCallChecker(
             checks_fences=checks_fences, lease_s=LEASE_S
         )
         self.store = SimulatedStore(self)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -34,15 +34,15 @@
         for count in (6, 30):
             with self.subTest(count=count):
                 simulation = simulate(1, count, faults=False)
-                self.assertEqual(simulation.judge.violations, [])
+                self.assertEqual(simulation.checker.violations, [])
                 for window in due_windows():
                     self.assertEqual(
-                        simulation.judge.reports[window],
+                        simulation.checker.reports[window],
                         dict(simulation.truth.get(window, {})),
                     )
                     due = (window + 1) * WINDOW_S + LATE_S
                     self.assertLess(
-                        simulation.judge.first_report_times[window], due
+                        simulation.checker.first_report_times[window], due
                     )
 
     def test_one_holder_under_faults(self) -> None:
@@ -52,19 +52,19 @@
         # are executed late; the store is unavailable.
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                self.assertEqual(simulate(seed, 6).judge.violations, [])
+                self.assertEqual(simulate(seed, 6).checker.violations, [])
 
     def test_platform_without_fencing(self) -> None:
         # Guards against a lower fencing token after a higher one.
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 simulation = simulate(seed, 6, checks_fences=False)
-                self.assertEqual(simulation.judge.violations, [])
+                self.assertEqual(simulation.checker.violations, [])
 
     def test_frozen_holder_does_not_renew(self) -> None:
         # Guards against a holder that was frozen in the middle of its round,
         # and on resuming takes the lease from its successor.
-        self.assertEqual(simulate(23, 6).judge.violations, [])
+        self.assertEqual(simulate(23, 6).checker.violations, [])
 
     def test_no_alternation_after_a_restart(self) -> None:
         # Guards against a machine that stops, hands over the lease and takes it
@@ -73,16 +73,16 @@
             with self.subTest(seed=seed):
                 simulation = DutySimulation(seed, 6, faults=False)
                 virtualtime.run(simulation.run_with_stops, MODULES)
-                self.assertEqual(simulation.judge.violations, [])
+                self.assertEqual(simulation.checker.violations, [])
 
     def test_no_report_after_loss_of_counts(self) -> None:
         # Guards against a report that lacks what was counted before a power
         # loss of all instances.
         simulation = DutySimulation(3, 6, faults=False)
         virtualtime.run(simulation.run_with_power_loss, MODULES)
-        for window, counts in simulation.judge.reports.items():
+        for window, counts in simulation.checker.reports.items():
             self.assertEqual(counts, dict(simulation.truth.get(window, {})))
-        self.assertLess(len(simulation.judge.reports), len(due_windows()))
+        self.assertLess(len(simulation.checker.reports), len(due_windows()))
 
 
 def main() -> None:
@@ -93,11 +93,11 @@
     for seed in range(seeds):
         for checks in (True, False):
             simulation = simulate(seed, count, checks_fences=checks)
-            if simulation.judge.violations:
-                bad.append((seed, checks, simulation.judge.violations[:2]))
+            if simulation.checker.violations:
+                bad.append((seed, checks, simulation.checker.violations[:2]))
         for window in due_windows():
             due += 1
-            reported = simulation.judge.reports.get(window)
+            reported = simulation.checker.reports.get(window)
             missed += reported is None
             wrong += reported is not None and reported != dict(
                 simulation.truth[window]
