--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -18,7 +18,7 @@
 from jasminerelay.catalog import BackendServer, Engine
 from jasminerelay.enginemodel import EngineSpeeds
 from jasminerelay.groups import ServerSplit, TotalDemand
-from jasminerelay.placing import Guess, Option
+from jasminerelay.placing import OutputEstimate, PlacementCandidate
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
     KindDemand,
@@ -82,14 +82,14 @@
     """Returns an operation that places one model request in its group."""
     rng = random.Random(1)
     options = [
-        Option(
+        PlacementCandidate(
             BackendServer(f"i-{n:010x}", "pool", "1.2.3.4:5", "z", 64, False),
             Load(rng.randrange(30_000), rng.randrange(40), 300_000),
         )
         for n in range(servers)
     ]
     model_call = call()
-    output_estimate = Guess(300, 300)
+    output_estimate = OutputEstimate(300, 300)
     return lambda: placing.place_model(
         model_call, ENGINE, SPEEDS, options, output_estimate, 0.0
     )
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -22,7 +22,12 @@
 )
 from jasminerelay.lengths import Lengths
 from jasminerelay.placementqueue import Reservation
-from jasminerelay.placing import Guess, Option, Placed, Wait
+from jasminerelay.placing import (
+    OutputEstimate,
+    PlacementCandidate,
+    PlacementDecision,
+    Wait,
+)
 from jasminerelay.prefix import CacheView, PrefixIndex, part_hash
 from jasminerelay.registry import Registry
 from jasminerelay.responsemonitor import ResponseMonitor
@@ -226,9 +231,13 @@
         if call.prompt is None:
             return 0.0
         speeds = self._speeds(call.service)
-        return placing.KNOWN_UNREAD_S + speeds.first_s(call.prompt.own_tokens)
+        return placing.KNOWN_PREFILL_LIMIT_S + speeds.first_s(
+            call.prompt.own_tokens
+        )
 
-    def place(self, call: Call, avoid: frozenset[str]) -> Placed | Wait:
+    def place(
+        self, call: Call, avoid: frozenset[str]
+    ) -> PlacementDecision | Wait:
         """Chooses a server for a request, or decides that it must wait."""
         servers = [
             server
@@ -247,7 +256,7 @@
         call: Call,
         servers: list[BackendServer],
         unlimited: list[BackendServer],
-    ) -> Placed | Wait:
+    ) -> PlacementDecision | Wait:
         """Places a request where some servers have a rate limit.
 
         A limited server is overloaded, although it looks idle because it gets
@@ -258,13 +267,13 @@
         allowance = self._allowance
         probes = [x for x in limited if allowance.has_trial_grant(x.id, now)]
         held = [x for x in limited if allowance.may_send(x.id, now)]
-        placed: Placed | Wait = Wait(
+        placed: PlacementDecision | Wait = Wait(
             "rate limits of the service's servers are used up"
         )
         for candidates in (probes, unlimited, held):
             if candidates:
                 placed = self._place_among(call, candidates)
-            if isinstance(placed, Placed):
+            if isinstance(placed, PlacementDecision):
                 return placed
         for item in limited:
             allowance.record_demand(item.id, call.rank, now)
@@ -272,7 +281,7 @@
 
     def _place_among(
         self, call: Call, servers: list[BackendServer]
-    ) -> Placed | Wait:
+    ) -> PlacementDecision | Wait:
         engine = self.engine_of(call.service)
         if call.prompt is None or engine is None:
             options = self._options(call, servers)
@@ -287,7 +296,7 @@
         placed = placing.place_model(
             call, engine, speeds, options, estimate, now
         )
-        if isinstance(placed, Placed):
+        if isinstance(placed, PlacementDecision):
             return placed
         allowed_ids = self._overflow_servers(call)
         if self._may_use_any_server(call, now):
@@ -308,7 +317,7 @@
 
     def _options(
         self, call: Call, servers: list[BackendServer]
-    ) -> list[Option]:
+    ) -> list[PlacementCandidate]:
         now = time.monotonic()
         comparison = self.token_times.compare(
             (item.id for item in servers), now
@@ -316,7 +325,7 @@
         shared = call.prompt.shared_parts if call.prompt is not None else ()
         part_hashes = tuple(part_hash(part.id) for part in shared)
         return [
-            Option(
+            PlacementCandidate(
                 server,
                 self.workload.load(server.id),
                 self._cached_tokens(server.id, shared, part_hashes),
@@ -410,7 +419,7 @@
         return self.engine_models.of(service).speeds()
 
     def record_first_event(
-        self, call: Call, placed: Placed, ahead: int, seconds: float
+        self, call: Call, placed: PlacementDecision, ahead: int, seconds: float
     ) -> None:
         """Records the time to a request's first event.
 
@@ -430,7 +439,7 @@
         self.engine_models.add_local_sample(sample, time.monotonic())
 
     def reserve(
-        self, call: Call, placed: Placed, number: int | None = None
+        self, call: Call, placed: PlacementDecision, number: int | None = None
     ) -> InFlightRequest:
         """Records that a request is sent to a server.
 
@@ -470,7 +479,7 @@
         self._allowance.use_grant(server.id, time.monotonic())
         memory = call.prompt.tokens + self._output_estimate(call).output
         run = self.workload.start(server.id, 0, memory)
-        return Reservation(Placed(server, 0, memory), run)
+        return Reservation(PlacementDecision(server, 0, memory), run)
 
     def reserve_migration_target(
         self, call: Call, avoid: frozenset[str]
@@ -710,11 +719,11 @@
             engine, need.unread, need.output, need.memory
         )
 
-    def _output_estimate(self, call: Call) -> Guess:
+    def _output_estimate(self, call: Call) -> OutputEstimate:
         kind = call.route.name
         prompt = call.prompt
         max_output = prompt.max_output
-        return Guess(
+        return OutputEstimate(
             self.lengths.expect(kind, prompt.expected_output, max_output),
             self.lengths.typical(kind, max_output),
         )
@@ -775,7 +784,9 @@
         return group or servers
 
 
-def _unblock_if_all_blocked(options: list[Option]) -> list[Option]:
+def _unblock_if_all_blocked(
+    options: list[PlacementCandidate],
+) -> list[PlacementCandidate]:
     # When every server has failed recently, one that may fail again is better
     # than none: refusing everything would turn a short fault into an outage.
     if options and all(item.blocked for item in options):
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -31,7 +31,7 @@
     placement_request,
     request_end_report,
 )
-from jasminerelay.placing import Placed
+from jasminerelay.placing import PlacementDecision
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
     EndWord,
@@ -355,7 +355,9 @@
             self._counters.incr("place.stale_server")
             return None
         source = self._registry.server(answer.source)
-        placed = Placed(server, answer.unread, answer.memory, False, source)
+        placed = PlacementDecision(
+            server, answer.unread, answer.memory, False, source
+        )
         run = self._dispatcher.reserve(pending.call, placed, pending.number)
         self._counters.incr("place.placed")
         return Reservation(placed, run, pending.owner.instance)
--- a/src/jasminerelay/placementqueue.py
+++ b/src/jasminerelay/placementqueue.py
@@ -12,7 +12,7 @@
 from jasminerelay.admission import WaitEstimate
 from jasminerelay.catalog import Call
 from jasminerelay.errors import NoRoomError
-from jasminerelay.placing import Placed, Wait
+from jasminerelay.placing import PlacementDecision, Wait
 from jasminerelay.workload import InFlightRequest
 
 MAX_FAILED_ATTEMPTS = 8
@@ -41,7 +41,7 @@
         owner: Instance that made the decision; "" for this one.
     """
 
-    placed: Placed
+    placed: PlacementDecision
     run: InFlightRequest
     owner: str = ""
 
@@ -92,7 +92,7 @@
         """Notes that a server of a service has free capacity again."""
 
 
-Place = Callable[[Call, frozenset[str]], Placed | Wait]
+Place = Callable[[Call, frozenset[str]], PlacementDecision | Wait]
 Expect = Callable[[Call, float], WaitEstimate]
 
 
@@ -104,7 +104,7 @@
         place: Place,
         expect: Expect,
         busy: Callable[[Call], float],
-        reserve: Callable[[Call, Placed], InFlightRequest],
+        reserve: Callable[[Call, PlacementDecision], InFlightRequest],
         first: Callable[[Call], float] = lambda call: 0.0,
         *,
         frequent_passes: bool = False,
@@ -230,7 +230,7 @@
             kind = item.call.route.name
             if failed_attempts[kind] < MAX_FAILED_ATTEMPTS:
                 placed = self._place(item.call, item.avoid)
-                if isinstance(placed, Placed):
+                if isinstance(placed, PlacementDecision):
                     reservation = Reservation(
                         placed, self._reserve(item.call, placed)
                     )
--- a/src/jasminerelay/placing.py
+++ b/src/jasminerelay/placing.py
@@ -21,7 +21,7 @@
 covers the age of the other instances' load reports; a higher limit would only
 take the choice of order away from the instances."""
 
-KNOWN_UNREAD_S = 0.1
+KNOWN_PREFILL_LIMIT_S = 0.1
 """The same limit where every request sent to the server is known at once. It
 covers the round trip to the server, so that no engine is idle; requests that
 wait in the instance can still be reordered and placed elsewhere."""
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Option:
+class PlacementCandidate:
     """A backend server and its present state.
 
     Attributes:
@@ -104,7 +104,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Placed:
+class PlacementDecision:
     """The decision to send a request to a server.
 
     Attributes:
@@ -138,7 +138,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Guess:
+class OutputEstimate:
     """Expected output length of a model request.
 
     Attributes:
@@ -154,10 +154,10 @@
     call: Call,
     engine: Engine,
     speeds: EngineSpeeds,
-    options: Sequence[Option],
-    estimate: Guess,
+    options: Sequence[PlacementCandidate],
+    estimate: OutputEstimate,
     now: float,
-) -> Placed | Wait:
+) -> PlacementDecision | Wait:
     """Places a model request on one of its group's servers.
 
     Args:
@@ -214,7 +214,7 @@
         seconds: Cost of this choice in seconds; lower is better.
     """
 
-    placed: Placed
+    placed: PlacementDecision
     available: bool
     first_s: float
     seconds: float
@@ -224,10 +224,10 @@
     call: Call,
     engine: Engine,
     speeds: EngineSpeeds,
-    item: Option,
+    item: PlacementCandidate,
     first_choice: str,
-    prefix_holders: Sequence[Option],
-    estimate: Guess,
+    prefix_holders: Sequence[PlacementCandidate],
+    estimate: OutputEstimate,
 ) -> _Scored:
     missing = _missing_tokens(call, item, item.server.id == first_choice)
     source, copied_tokens = _copy_source(
@@ -252,7 +252,7 @@
     prefill_known = (
         item.cache_known or unknown_tokens <= MAX_UNKNOWN_SHARE * unread
     )
-    placed = Placed(
+    placed = PlacementDecision(
         item.server,
         unread,
         memory,
@@ -263,13 +263,13 @@
 
 
 def has_capacity(
-    engine: Engine, speeds: EngineSpeeds, item: Option, memory: int
+    engine: Engine, speeds: EngineSpeeds, item: PlacementCandidate, memory: int
 ) -> bool:
     """Returns whether a server has capacity for a request now."""
     slots = max(1, int(engine.slots * SLOT_SHARE))
     if item.load.running >= slots:
         return False
-    limit_s = KNOWN_UNREAD_S if item.cache_known else PREFILL_LIMIT_S
+    limit_s = KNOWN_PREFILL_LIMIT_S if item.cache_known else PREFILL_LIMIT_S
     if speeds.prefill_s(item.load.unread) > limit_s:
         return False
     if not item.load.running:
@@ -279,15 +279,15 @@
 
 
 def with_prefill_at_most(
-    options: Sequence[Option], tokens: float
-) -> list[Option]:
+    options: Sequence[PlacementCandidate], tokens: float
+) -> list[PlacementCandidate]:
     """Returns the servers with at most `tokens` pending prefill."""
     return [item for item in options if item.load.unread <= tokens]
 
 
 def place_plain(
-    call: Call, options: Sequence[Option], zone: str
-) -> Placed | Wait:
+    call: Call, options: Sequence[PlacementCandidate], zone: str
+) -> PlacementDecision | Wait:
     """Places a plain request on the least loaded server."""
     usable = [
         item
@@ -302,22 +302,26 @@
     # instances would send their ties to the same server.
     ranks = rendezvous.rank(call.id, [item.server.id for item in usable])
 
-    def score(item: Option) -> tuple[float, bool, int]:
+    def score(item: PlacementCandidate) -> tuple[float, bool, int]:
         busy = (item.load.running + 1) / max(1, item.server.slots)
         weighted = busy * min(item.slowness, MAX_SLOWNESS)
         other_zone = item.server.zone != zone
         return (round(weighted, 2), other_zone, ranks.index(item.server.id))
 
-    return Placed(min(usable, key=score).server, 0, 0)
+    return PlacementDecision(min(usable, key=score).server, 0, 0)
 
 
-def first_event_s(speeds: EngineSpeeds, item: Option, unread: int) -> float:
+def first_event_s(
+    speeds: EngineSpeeds, item: PlacementCandidate, unread: int
+) -> float:
     """Returns the expected time to the first event of a request sent now."""
     prefill_s = speeds.prefill_s(item.load.unread + unread)
     return speeds.first_event_s + prefill_s * item.slowness
 
 
-def _too_slow(call: Call, item: Option, typical_output: int) -> bool:
+def _too_slow(
+    call: Call, item: PlacementCandidate, typical_output: int
+) -> bool:
     # Uses the typical output of the kind: a long request would find every
     # server too slow, even an idle one.
     if item.token_s is None or not item.load.running:
@@ -330,7 +334,9 @@
     return (item.seconds, item.placed.server.id)
 
 
-def _preference_order(call: Call, options: Sequence[Option]) -> list[str]:
+def _preference_order(
+    call: Call, options: Sequence[PlacementCandidate]
+) -> list[str]:
     """Returns the servers in the order in which all instances prefer them."""
     shared = call.prompt.shared_parts
     key = shared[-1].id if shared else call.id
@@ -352,8 +358,8 @@
 
 
 def _likely_prefix_holders(
-    options: Sequence[Option], ranked: Sequence[str]
-) -> list[Option]:
+    options: Sequence[PlacementCandidate], ranked: Sequence[str]
+) -> list[PlacementCandidate]:
     """Returns the two likeliest holders of the cached prefix, best first.
 
     A server to which the prefix was sent comes before the first one in the
@@ -370,10 +376,10 @@
 def _copy_source(
     engine: Engine,
     speeds: EngineSpeeds,
-    item: Option,
-    prefix_holders: Sequence[Option],
+    item: PlacementCandidate,
+    prefix_holders: Sequence[PlacementCandidate],
     missing: int,
-) -> tuple[Option | None, int]:
+) -> tuple[PlacementCandidate | None, int]:
     """Returns the source of a prefix copy, and the number of tokens to copy.
 
     The source is returned also where prefill is as fast: the server decides.
@@ -393,7 +399,9 @@
     return source, copy_tokens
 
 
-def _missing_tokens(call: Call, item: Option, is_first_choice: bool) -> int:
+def _missing_tokens(
+    call: Call, item: PlacementCandidate, is_first_choice: bool
+) -> int:
     """Returns the shared tokens assumed missing from a server's KV cache."""
     if is_first_choice and not item.cache_known:
         return 0
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -32,7 +32,7 @@
 )
 from jasminerelay.placementqueue import PlacementQueue, Reservation
 from jasminerelay.placewords import FOREIGN, placement_request
-from jasminerelay.placing import KNOWN_UNREAD_S
+from jasminerelay.placing import KNOWN_PREFILL_LIMIT_S
 from jasminerelay.platform import documents
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import Member, PlaceWord, ServerRow
@@ -398,7 +398,8 @@
             )
             group.cancel_scope.cancel()
         self.assertLessEqual(
-            max_unread * READ_TOKEN_S, KNOWN_UNREAD_S + 6_000 * READ_TOKEN_S
+            max_unread * READ_TOKEN_S,
+            KNOWN_PREFILL_LIMIT_S + 6_000 * READ_TOKEN_S,
         )
 
     async def test_freed_slot_goes_to_one(self) -> None:
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -16,14 +16,19 @@
     ServiceShare,
 )
 from jasminerelay.enginemodel import EngineSpeeds
-from jasminerelay.placing import Guess, Option, Placed, Wait
+from jasminerelay.placing import (
+    OutputEstimate,
+    PlacementCandidate,
+    PlacementDecision,
+    Wait,
+)
 from jasminerelay.workload import (
     NO_LOAD,
     Load,
 )
 
 ENGINE = Engine(64, 700_000, 18_432, True, 5)
-ESTIMATE = Guess(400, 400)
+ESTIMATE = OutputEstimate(400, 400)
 SPEEDS = EngineSpeeds(1 / 80_000, 0.045, 0.004, 0.000_08)
 
 
@@ -69,13 +74,13 @@
     return Call(name, **{**values, **fields})
 
 
-def option(name: str, load: Load = NO_LOAD, **fields) -> Option:
+def option(name: str, load: Load = NO_LOAD, **fields) -> PlacementCandidate:
     """Returns a server with some load."""
     server = BackendServer(name, "pool", "1.2.3.4:5", "z", 6, False)
-    return Option(server, load, **fields)
+    return PlacementCandidate(server, load, **fields)
 
 
-def place(options: list[Option], now: float = 0.0, **fields):
+def place(options: list[PlacementCandidate], now: float = 0.0, **fields):
     """Places a request."""
     return placing.place_model(
         call(**fields), ENGINE, SPEEDS, options, ESTIMATE, now
@@ -87,7 +92,7 @@
 
     FAST_LINKS = dataclasses.replace(ENGINE, link_bits_per_s=2e11)
 
-    def place(self, *options: Option):
+    def place(self, *options: PlacementCandidate):
         cache_known = [
             dataclasses.replace(item, cache_known=True) for item in options
         ]
@@ -116,7 +121,7 @@
         # All requests sent are known at once, so a tenth of a second of pending
         # prefill keeps an engine busy; the rest waits where it can still be
         # reordered.
-        ahead = int(placing.KNOWN_UNREAD_S / SPEEDS.read_token_s) + 1
+        ahead = int(placing.KNOWN_PREFILL_LIMIT_S / SPEEDS.read_token_s) + 1
         full = Load(ahead, 1, 10_000)
         self.assertIsInstance(self.place(option("a", full)), Wait)
 
@@ -174,7 +179,7 @@
             chosen.add(place(options, now=1.9).server.id)
         self.assertEqual(len(chosen), 1)
 
-    def place_overflow(self, engine: Engine) -> Placed:
+    def place_overflow(self, engine: Engine) -> PlacementDecision:
         """Places an almost late request whose first-choice server is full."""
         full = Load(unread=45_000, running=5, memory=50_000)
         first_choice = self.first_choice()
@@ -228,7 +233,9 @@
 
     def test_request_larger_than_the_cache_share(self) -> None:
         prompt = Prompt((PromptPart("x", 900_000),), 900_000, 10, None)
-        self.assertIsInstance(place([option("a")], prompt=prompt), Placed)
+        self.assertIsInstance(
+            place([option("a")], prompt=prompt), PlacementDecision
+        )
 
     def test_slow_engine_has_no_capacity(self) -> None:
         # The measured time per token shows that an answer would exceed its time
@@ -237,7 +244,7 @@
         slow = option("a", busy, token_s=0.04)
         self.assertIsInstance(place([slow], now=5.0), Wait)
         fast = option("a", busy, token_s=0.01)
-        self.assertIsInstance(place([fast], now=5.0), Placed)
+        self.assertIsInstance(place([fast], now=5.0), PlacementDecision)
 
     def test_blocked_server_is_excluded(self) -> None:
         options = [option("a", blocked=True), option("b")]
--- a/tests/test_waitingroom.py
+++ b/tests/test_waitingroom.py
@@ -12,7 +12,7 @@
 )
 from jasminerelay.errors import NoRoomError
 from jasminerelay.placementqueue import PlacementQueue, QueueEntry
-from jasminerelay.placing import Placed, Wait
+from jasminerelay.placing import PlacementDecision, Wait
 from jasminerelay.workload import (
     Workload,
 )
@@ -27,7 +27,9 @@
 
         def find(item: Call, avoid: frozenset[str]):
             return (
-                Placed(option(free.pop()).server, 0, 0) if free else Wait("no")
+                PlacementDecision(option(free.pop()).server, 0, 0)
+                if free
+                else Wait("no")
             )
 
         self.workload = workload
