--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -20,7 +20,7 @@
     ServerSplit,
     TotalDemand,
 )
-from jasminerelay.lengths import Lengths
+from jasminerelay.outputlengths import OutputLengths
 from jasminerelay.placementqueue import Reservation
 from jasminerelay.placing import (
     OutputEstimate,
@@ -116,7 +116,7 @@
         zone: str,
         instances: Callable[[], int],
         engines: EngineModels | None = None,
-        lengths: Lengths | None = None,
+        lengths: OutputLengths | None = None,
         response_monitor: ResponseMonitor | None = None,
         caches: CacheView | None = None,
         allowance: Allowance | None = None,
@@ -148,7 +148,7 @@
         self._prefixes = PrefixIndex()
         self._caches = caches
         self._allowance = Allowance() if allowance is None else allowance
-        self.lengths = lengths or Lengths()
+        self.lengths = lengths or OutputLengths()
         self._response_monitor = response_monitor or ResponseMonitor()
         self.token_times = TokenTimes()
         self.engine_models = engines or EngineModels()
--- a/src/jasminerelay/lengths.py
+++ b/src/jasminerelay/outputlengths.py
@@ -20,7 +20,7 @@
 kind nor its caller gives an estimate."""
 
 
-class Lengths:
+class OutputLengths:
     """Output lengths by kind.
 
     Example:
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -7,8 +7,8 @@
 from jasminerelay.cells import CellServers, QueueEstimates
 from jasminerelay.dispatcher import Dispatcher, OnSplit
 from jasminerelay.enginemodel import EngineModels
-from jasminerelay.lengths import Lengths
 from jasminerelay.metrics import Counters
+from jasminerelay.outputlengths import OutputLengths
 from jasminerelay.owning import CellOwner, SendAnswers
 from jasminerelay.placementqueue import PASS_INTERVAL_S
 from jasminerelay.placewords import FOREIGN
@@ -48,7 +48,7 @@
         zone: str,
         registry: Registry,
         engines: EngineModels,
-        lengths: Lengths,
+        lengths: OutputLengths,
         counters: Counters,
         allowance: Allowance | None = None,
     ):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -68,7 +68,7 @@
         "explain",
         "fencing",
         "groups",
-        "lengths",
+        "outputlengths",
         "limits",
         "manifest",
         "membership",
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from jasminerelay.lengths import Lengths
+from jasminerelay.outputlengths import OutputLengths
 from jasminerelay.responsemonitor import ResponseMonitor
 from jasminerelay.schema.messages import ServerLoad
 from jasminerelay.sharedbudget import SharedRetryBudget
@@ -180,7 +180,7 @@
     def test_blend_is_better_than_the_hint(self) -> None:
         # The hints are wrong by a random factor whose median is 1.
         rng = random.Random(5)
-        lengths = Lengths()
+        lengths = OutputLengths()
         blended_error = hint_error = 0.0
         for _ in range(400):
             actual = max(1, round(rng.lognormvariate(5.5, 0.4)))
@@ -192,7 +192,7 @@
         self.assertLess(blended_error, 0.6 * hint_error)
 
     def test_bounds(self) -> None:
-        lengths = Lengths()
+        lengths = OutputLengths()
         self.assertEqual(lengths.expect("k", 5000, 100), 100)
         self.assertGreaterEqual(lengths.expect("k", None, 1), 1)
 
