--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -17,7 +17,7 @@
     "Decision": "broker",
     "Directory": "manifest",
     "Dispatcher": "dispatcher",
-    "Estimator": "estimate",
+    "LengthEstimator": "lengthestimate",
     "Limit": "limits",
     "Membership": "membership",
     "Outcome": "outcome",
--- a/src/jasminerelay/answercontext.py
+++ b/src/jasminerelay/answercontext.py
@@ -6,7 +6,7 @@
 
 from jasminerelay import burn
 from jasminerelay.backends import EngineClient
-from jasminerelay.estimate import Estimator
+from jasminerelay.lengthestimate import LengthEstimator
 from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.resume import Signer
@@ -79,7 +79,7 @@
     counters: Counters
     invariants: InvariantHandler
     timing: Timing
-    estimator: Estimator
+    estimator: LengthEstimator
     retries: RetryBudget
     on_leaving: Callable[[str], None]
     spawn: Callable[..., None]
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -36,8 +36,8 @@
 from jasminerelay.claimstore import ClaimStore
 from jasminerelay.completions import Completions
 from jasminerelay.errors import StoreError
-from jasminerelay.estimate import Estimator
 from jasminerelay.httpclient import HttpClient
+from jasminerelay.lengthestimate import LengthEstimator
 from jasminerelay.loadpoller import LoadPoller
 from jasminerelay.manifest import Directory
 from jasminerelay.manifestmanager import ManifestManager
@@ -315,7 +315,7 @@
                 self.counters,
                 self._invariants,
                 cfg.timing,
-                Estimator(),
+                LengthEstimator(),
                 RetryBudget(),
                 self._on_server_leaving,
                 self._spawn,
--- a/src/jasminerelay/estimate.py
+++ b/src/jasminerelay/lengthestimate.py
@@ -12,7 +12,7 @@
 previous one."""
 
 
-class Estimator:
+class LengthEstimator:
     """Running quantiles of answer lengths by kind (class and model)."""
 
     def __init__(self) -> None:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -64,7 +64,7 @@
         "claims",
         "enginemodel",
         "entrylist",
-        "estimate",
+        "lengthestimate",
         "explain",
         "fencing",
         "groups",
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 
 from jasminerelay import answers, burn, metrics, modelrequests
 from jasminerelay.errors import InvariantError
-from jasminerelay.estimate import Estimator
+from jasminerelay.lengthestimate import LengthEstimator
 from jasminerelay.retry import RetryBudget
 from jasminerelay.schema.manifest import (
     Organisation,
@@ -67,7 +67,7 @@
             self.counters,
             self.invariants,
             Timing(),
-            Estimator(),
+            LengthEstimator(),
             RetryBudget(),
             lambda name: None,
             lambda *action: None,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,7 +8,7 @@
 
 from jasminerelay import burn, entrylist, rendezvous
 from jasminerelay.errors import InvariantError
-from jasminerelay.estimate import Estimator
+from jasminerelay.lengthestimate import LengthEstimator
 from jasminerelay.limits import BorrowedBalance, Limit, TokenBucket
 from jasminerelay.outcome import Outcome, State
 from jasminerelay.prefix import BLOCK_CHARS, PrefixIndex, block_hashes
@@ -172,17 +172,17 @@
     """Estimates of answer lengths by running quantiles."""
 
     def test_default_is_the_requested_maximum(self) -> None:
-        self.assertEqual(Estimator().tokens("kind", 77), 77)
+        self.assertEqual(LengthEstimator().tokens("kind", 77), 77)
 
     def test_quantile(self) -> None:
-        estimator = Estimator()
+        estimator = LengthEstimator()
         for length in range(1, 101):
             estimator.observe("kind", length)
         self.assertAlmostEqual(estimator.tokens("kind", 1000), 75, delta=1)
         self.assertEqual(estimator.tokens("kind", 10), 10)
 
     def test_adapts_to_a_change(self) -> None:
-        estimator = Estimator()
+        estimator = LengthEstimator()
         for length in [10] * 500 + [90] * 1001:
             estimator.observe("kind", length)
         self.assertAlmostEqual(estimator.tokens("kind", 1000), 90, delta=1)
