--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -27,16 +27,16 @@
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.prefix import PrefixIndex
 from jasminerelay.schema.messages import (
-    Ask,
     BrokerFrame,
-    EntryFrame,
     Gossip,
-    Grant,
-    Held,
+    HeldPermit,
+    InstanceFrame,
     LoadReport,
     ManifestPointer,
     Member,
-    Release,
+    PermitGrant,
+    PermitRelease,
+    PermitRequest,
 )
 from jasminerelay.schema.settings import Statsd
 from jasminerelay.watchdog import Watchdog
@@ -202,9 +202,9 @@
     broker.enqueue(make_queued_request(number, organisations, now), now)
     for decision in broker.step(now):
         message = decision.message
-        if isinstance(message, Grant):
+        if isinstance(message, PermitGrant):
             broker.release(
-                Release(message.ask_id, "pool/0", 20.0, False, 0.01), now
+                PermitRelease(message.ask_id, "pool/0", 20.0, False, 0.01), now
             )
     broker.step(now)
 
@@ -218,7 +218,7 @@
     broker = Broker(make_cell(8, slots=1))
     for number in range(8):
         broker.hold(
-            Held(f"h{number}", "pool/0", f"s{number}", 1, False), "e", 0
+            HeldPermit(f"h{number}", "pool/0", f"s{number}", 1, False), "e", 0
         )
     for number in range(count):
         broker.enqueue(make_queued_request(10**8 + number, 10, 0.0), 0.0)
@@ -226,13 +226,17 @@
 
     def serve() -> None:
         number = next(numbers)
-        broker.release(Release(f"h{number}", "pool/0", 1.0, False, 0.0), 0.0)
+        broker.release(
+            PermitRelease(f"h{number}", "pool/0", 1.0, False, 0.0), 0.0
+        )
         broker.step(0.0)
         broker.enqueue(make_queued_request(number, 10, 0.0), 0.0)
         for decision in broker.step(0.0):
             del decision
         broker.hold(
-            Held(f"h{number + 8}", "pool/0", f"s{number % 8}", 1, False), "e", 0
+            HeldPermit(f"h{number + 8}", "pool/0", f"s{number % 8}", 1, False),
+            "e",
+            0,
         )
 
     return _cpu_us(serve, 500)
@@ -268,7 +272,9 @@
     )
     for number in range(STREAMS):
         cell = f"pool-{number % MODELS}/0"
-        permit_client.take_over(Held(str(number), cell, "server", 3, False))
+        permit_client.take_over(
+            HeldPermit(str(number), cell, "server", 3, False)
+        )
     counter = iter(range(10**9))
     return _cpu_us(lambda: permit_client._tick(float(next(counter))), 200)
 
@@ -277,7 +283,7 @@
     broker = Broker(make_cell(8, slots=32))
     for number in range(permits):
         name = f"s{number % 8}"
-        broker.hold(Held(str(number), "pool/0", name, 1, False), "e", 0.0)
+        broker.hold(HeldPermit(str(number), "pool/0", name, 1, False), "e", 0.0)
     report = LoadReport(permits // 8, 0, False, 0.03, 0.5)
     return _cpu_us(lambda: broker.on_load_report("s0", report, 5.0), 2000)
 
@@ -319,8 +325,8 @@
     return _retained_bytes(lambda: manifest.parse(text, "m").unwrap())
 
 
-def _make_ask(number: int) -> Ask:
-    return Ask(
+def _make_ask(number: int) -> PermitRequest:
+    return PermitRequest(
         f"{number:032d}",
         "model-pool/12",
         3,
@@ -341,19 +347,19 @@
     )
 
 
-def _entry_frame(count: int) -> EntryFrame:
+def _entry_frame(count: int) -> InstanceFrame:
     asks = [_make_ask(number) for number in range(count)]
     releases = [
-        Release(ask.ask_id, ask.cell, 300.0, False, 0.03) for ask in asks
+        PermitRelease(ask.ask_id, ask.cell, 300.0, False, 0.03) for ask in asks
     ]
     name, incarnation = "relay-0001", "00001796235603-abcdef01"
-    return EntryFrame(name, incarnation, asks, [], releases, [])
+    return InstanceFrame(name, incarnation, asks, [], releases, [])
 
 
 def _grant_frame(count: int) -> BrokerFrame:
     return BrokerFrame(
         [
-            Grant(f"{n:032d}", "model-pool/12", "model-pool-server-0123")
+            PermitGrant(f"{n:032d}", "model-pool/12", "model-pool-server-0123")
             for n in range(count)
         ],
         [],
--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -21,11 +21,11 @@
 from jasminerelay.placing import OutputEstimate, PlacementCandidate
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
-    KindDemand,
-    PeerWord,
+    PeerMessage,
+    ReplicaStatus,
+    RouteDemand,
     ServerLoad,
     ServerRow,
-    Standing,
 )
 from jasminerelay.workload import Load, Workload
 from tests.test_placing import call
@@ -37,15 +37,15 @@
 SPEEDS = EngineSpeeds(1 / 80_000, 0.045, 0.004, 0.000_08)
 
 
-def make_message(servers: int) -> PeerWord:
+def make_message(servers: int) -> PeerMessage:
     """Returns a message of an instance that reports load at some servers."""
     loads = [ServerLoad(f"i-{n:010x}", 9000, 3, 40_000) for n in range(servers)]
-    demand = [KindDemand(f"pool/r-{n}", 0.4, 900, n) for n in range(5)]
-    return PeerWord(
+    demand = [RouteDemand(f"pool/r-{n}", 0.4, 900, n) for n in range(5)]
+    return PeerMessage(
         None,
         "edge-1/0123456789ab",
         77,
-        Standing(1, 2, 3),
+        ReplicaStatus(1, 2, 3),
         peerwords.load_columns(loads),
         peerwords.demand_columns(demand),
     )
@@ -98,7 +98,7 @@
 def split(servers: int) -> Callable[[], object]:
     """Returns an operation that updates the split of one service's servers."""
     names = [f"i-{n:010x}" for n in range(servers)]
-    demand = [KindDemand(f"r-{n}", 0.5 + n, 900.0, n) for n in range(5)]
+    demand = [RouteDemand(f"r-{n}", 0.5 + n, 900.0, n) for n in range(5)]
     held = ServerSplit()
     return lambda: held.update(names, demand)
 
--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -35,7 +35,12 @@
 from jasminerelay.schema.manifest import (
     Server,
 )
-from jasminerelay.schema.messages import Ask, Grant, Refusal, Release
+from jasminerelay.schema.messages import (
+    PermitGrant,
+    PermitRefusal,
+    PermitRelease,
+    PermitRequest,
+)
 
 MAX_RESUMES = 3
 MAX_ATTEMPTS = 5
@@ -176,10 +181,12 @@
                 yield self._length_limit_event()
                 return
 
-    async def _acquire_permit(self, permit_request: Ask) -> Grant:
+    async def _acquire_permit(
+        self, permit_request: PermitRequest
+    ) -> PermitGrant:
         self.outcome.waiting()
         result = await self._context.permit_client.acquire(permit_request)
-        if isinstance(result, Refusal):
+        if isinstance(result, PermitRefusal):
             raise self._refusal_error(result)
         return result
 
@@ -255,7 +262,9 @@
         self._last_token_at = now
         self._delivered_tokens = offset
 
-    def _check_preempted(self, permit_request: Ask, server: Server) -> bool:
+    def _check_preempted(
+        self, permit_request: PermitRequest, server: Server
+    ) -> bool:
         """Returns whether the permit was revoked; records the preemption.
 
         The engine's prefix cache still holds the prompt and the computed
@@ -371,7 +380,7 @@
                 self._wasted_tokens.get(cause, 0) + tokens
             )
 
-    def _refusal_error(self, refusal: Refusal) -> RelayError:
+    def _refusal_error(self, refusal: PermitRefusal) -> RelayError:
         if self._delivered_tokens:
             return BackendError(
                 "the backend server failed and no other has capacity",
@@ -396,7 +405,7 @@
             ticket=ticket,
         )
 
-    def _new_permit_request(self, avoid: list[str]) -> Ask:
+    def _new_permit_request(self, avoid: list[str]) -> PermitRequest:
         cls = self._placement.service_class
         prefixes = block_hashes(self._request.prompt)
         organisation = self._placement.organisation
@@ -411,7 +420,7 @@
             if self._delivered_tokens
             else cls.max_wait_s - waited
         )
-        return Ask(
+        return PermitRequest(
             uuid.uuid4().hex,
             cell.name,
             cls.rank,
@@ -491,14 +500,14 @@
         )
 
     def _release(
-        self, permit_request: Ask, tokens: int, *, failed: bool
+        self, permit_request: PermitRequest, tokens: int, *, failed: bool
     ) -> None:
         step_s = 0.0
         if tokens > 1:
             span = self._last_token_at - self._arrived - self._first_token_s
             step_s = max(0.0, span / (tokens - 1))
         self._context.permit_client.release(
-            Release(
+            PermitRelease(
                 permit_request.ask_id,
                 permit_request.cell,
                 tokens,
--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -16,12 +16,12 @@
 from jasminerelay.manifest import Cell
 from jasminerelay.prefix import PrefixIndex
 from jasminerelay.schema.messages import (
-    Grant,
-    Held,
+    HeldPermit,
     LoadReport,
-    Refusal,
-    Release,
-    Revoke,
+    PermitGrant,
+    PermitRefusal,
+    PermitRelease,
+    PermitRevocation,
 )
 from jasminerelay.stragglers import Stragglers
 
@@ -81,7 +81,7 @@
     """
 
     entry: str
-    message: Grant | Refusal | Revoke
+    message: PermitGrant | PermitRefusal | PermitRevocation
 
 
 class Broker:
@@ -157,7 +157,7 @@
             return
         permit = self._permits.get(waiting.ask_id)
         if permit is not None:
-            grant = Grant(permit.ask_id, self._cell.name, permit.server)
+            grant = PermitGrant(permit.ask_id, self._cell.name, permit.server)
             self._pending_decisions.append(Decision(permit.entry, grant))
             return
         full = len(self._waiting) >= self._cell.max_waiting
@@ -167,7 +167,7 @@
         self._tiers[waiting.rank].add(waiting)
         self._waiting[waiting.ask_id] = waiting
 
-    def hold(self, held: Held, entry: str, now: float) -> None:
+    def hold(self, held: HeldPermit, entry: str, now: float) -> None:
         """Records a permit that an instance reports as held."""
         if held.ask_id in self._permits:
             return
@@ -188,7 +188,7 @@
             )
         )
 
-    def release(self, release: Release, now: float) -> None:
+    def release(self, release: PermitRelease, now: float) -> None:
         """Releases a permit, or withdraws a queued request."""
         queued = self._waiting.get(release.ask_id)
         if queued is not None:
@@ -338,7 +338,7 @@
                 now,
             )
         )
-        grant = Grant(waiting.ask_id, self._cell.name, server)
+        grant = PermitGrant(waiting.ask_id, self._cell.name, server)
         return Decision(waiting.entry, grant)
 
     def _preempt(self) -> list[Decision]:
@@ -369,7 +369,9 @@
             if victim.rank <= rank:
                 break
             self._revoked.add(victim.ask_id)
-            decisions.append(Decision(victim.entry, Revoke(victim.ask_id)))
+            decisions.append(
+                Decision(victim.entry, PermitRevocation(victim.ask_id))
+            )
         return decisions
 
     def _floor_rank(self, ranks: list[int]) -> int | None:
@@ -524,7 +526,9 @@
         return None
 
     def _refuse(self, waiting: QueuedRequest, reason: str) -> None:
-        refusal = Refusal(waiting.ask_id, reason, self.retry_s(waiting.rank))
+        refusal = PermitRefusal(
+            waiting.ask_id, reason, self.retry_s(waiting.rank)
+        )
         self._pending_decisions.append(Decision(waiting.entry, refusal))
 
     def _refuse_all(self) -> list[Decision]:
--- a/src/jasminerelay/brokerhost.py
+++ b/src/jasminerelay/brokerhost.py
@@ -17,18 +17,18 @@
 from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.schema.manifest import Server
 from jasminerelay.schema.messages import (
-    Ask,
-    Borrow,
+    BorrowRequest,
     BrokerFrame,
     CacheEvent,
-    EntryFrame,
-    Grant,
-    Held,
+    HeldPermit,
+    InstanceFrame,
     LoadReport,
-    Loan,
-    Refusal,
-    Release,
-    Revoke,
+    PermitGrant,
+    PermitRefusal,
+    PermitRelease,
+    PermitRequest,
+    PermitRevocation,
+    TokenLoan,
 )
 
 TICK_S = 0.05
@@ -56,10 +56,10 @@
 
 @dataclasses.dataclass
 class _Outbox:
-    grants: list[Grant] = dataclasses.field(default_factory=list)
-    refusals: list[Refusal] = dataclasses.field(default_factory=list)
-    revokes: list[Revoke] = dataclasses.field(default_factory=list)
-    loans: list[Loan] = dataclasses.field(default_factory=list)
+    grants: list[PermitGrant] = dataclasses.field(default_factory=list)
+    refusals: list[PermitRefusal] = dataclasses.field(default_factory=list)
+    revokes: list[PermitRevocation] = dataclasses.field(default_factory=list)
+    loans: list[TokenLoan] = dataclasses.field(default_factory=list)
 
 
 class BrokerHost:
@@ -126,7 +126,7 @@
         for hosted in self._hosted.values():
             hosted.broker.remove_instance(entry, permits=False)
 
-    def on_frame(self, frame: EntryFrame) -> None:
+    def on_frame(self, frame: InstanceFrame) -> None:
         """Handles a frame of an instance and sends the resulting decisions."""
         now = time.monotonic()
         for message in (
@@ -213,32 +213,38 @@
 
     @_handle.register
     def _handle_permit_request(
-        self, message: Ask, entry: str, now: float
+        self, message: PermitRequest, entry: str, now: float
     ) -> None:
         hosted = self._hosted_broker(message.cell, now)
         if hosted is None:
             outbox = _Outbox(
-                refusals=[Refusal(message.ask_id, REFUSED_UNKNOWN_CELL, 0.0)]
+                refusals=[
+                    PermitRefusal(message.ask_id, REFUSED_UNKNOWN_CELL, 0.0)
+                ]
             )
             self._send(entry, outbox)
             return
         hosted.broker.enqueue(queued_request(message, entry, now), now)
 
     @_handle.register
-    def _handle_held(self, message: Held, entry: str, now: float) -> None:
+    def _handle_held(self, message: HeldPermit, entry: str, now: float) -> None:
         hosted = self._hosted_broker(message.cell, now)
         if hosted is not None:
             hosted.broker.hold(message, entry, now)
 
     @_handle.register
-    def _handle_release(self, message: Release, entry: str, now: float) -> None:
+    def _handle_release(
+        self, message: PermitRelease, entry: str, now: float
+    ) -> None:
         del entry
         hosted = self._hosted.get(message.cell)
         if hosted is not None:
             hosted.broker.release(message, now)
 
     @_handle.register
-    def _handle_borrow(self, message: Borrow, entry: str, now: float) -> None:
+    def _handle_borrow(
+        self, message: BorrowRequest, entry: str, now: float
+    ) -> None:
         directory = self._directory()
         if directory is None:
             return
@@ -252,7 +258,9 @@
             bucket = TokenBucket(limit, now)
             self._buckets[organisation.name] = bucket
         lent = bucket.lend(message.tokens, now)
-        loan = Loan(organisation.name, lent, bucket.retry_s(message.tokens))
+        loan = TokenLoan(
+            organisation.name, lent, bucket.retry_s(message.tokens)
+        )
         self._send(entry, _Outbox(loans=[loan]))
 
     def _hosted_broker(self, cell: str, now: float) -> _HostedBroker | None:
@@ -359,11 +367,13 @@
             )
 
 
-def _append(message: Grant | Refusal | Revoke, outbox: _Outbox) -> None:
+def _append(
+    message: PermitGrant | PermitRefusal | PermitRevocation, outbox: _Outbox
+) -> None:
     match message:
-        case Grant():
+        case PermitGrant():
             outbox.grants.append(message)
-        case Refusal():
+        case PermitRefusal():
             outbox.refusals.append(message)
-        case Revoke():
+        case PermitRevocation():
             outbox.revokes.append(message)
--- a/src/jasminerelay/crashes.py
+++ b/src/jasminerelay/crashes.py
@@ -15,7 +15,7 @@
 import collections
 import dataclasses
 
-from jasminerelay.schema.messages import ServerEnds
+from jasminerelay.schema.messages import RequestCrashes
 
 BLOCK_AFTER_CRASHES = 3
 """Crashes after which a request is no longer sent to any server."""
@@ -131,7 +131,7 @@
             return False
         return self._merge(fingerprint, {}, now, now)
 
-    def merge(self, report: ServerEnds, now: float) -> bool:
+    def merge(self, report: RequestCrashes, now: float) -> bool:
         """Merges another instance's report on a request.
 
         Returns:
@@ -150,11 +150,11 @@
         )
         return self._merge(report.fingerprint, crashes, last_completion_at, now)
 
-    def to_message(self, fingerprint: str, now: float) -> ServerEnds:
+    def to_message(self, fingerprint: str, now: float) -> RequestCrashes:
         """Returns a request's record as a message."""
         record = self._records.get(fingerprint, _Record())
         never = record.last_completion_at == NEVER
-        return ServerEnds(
+        return RequestCrashes(
             fingerprint,
             list(record.crashes),
             [_age_ms(at, now) for at in record.crashes.values()],
--- a/src/jasminerelay/crashwatch.py
+++ b/src/jasminerelay/crashwatch.py
@@ -27,7 +27,7 @@
 from jasminerelay.eventlog import EventLog
 from jasminerelay.metrics import Counters
 from jasminerelay.registry import Registry
-from jasminerelay.schema.messages import CrashWord, Member, ServerEnds
+from jasminerelay.schema.messages import CrashReport, Member, RequestCrashes
 
 TICK_S = 0.1
 """Interval at which notifications are sent to other instances."""
@@ -66,8 +66,8 @@
 RETRY_S = 1.0
 """Delay after a failed read or write of the store."""
 
-SaveBlocked = Callable[[ServerEnds], Awaitable[None]]
-ReadBlocked = Callable[[], Awaitable[list[ServerEnds]]]
+SaveBlocked = Callable[[RequestCrashes], Awaitable[None]]
+ReadBlocked = Callable[[], Awaitable[list[RequestCrashes]]]
 
 
 @dataclasses.dataclass(eq=False)
@@ -149,7 +149,7 @@
         self._probe_refused = probe_refused or refuses_connections
         self._probing: anyio.abc.TaskGroup | None = None
         self.members: Callable[[], Sequence[Member]] = lambda: ()
-        self.send: Callable[[Member, CrashWord], None] = lambda to, _: None
+        self.send: Callable[[Member, CrashReport], None] = lambda to, _: None
 
     def is_blocked(self, call: Call) -> bool:
         """Returns whether a request must not be sent to any server."""
@@ -213,7 +213,7 @@
                 self._broadcast.add(name)
             self._handle_changes(blocked)
 
-    def handle_message(self, message: CrashWord) -> None:
+    def handle_message(self, message: CrashReport) -> None:
         """Merges another instance's reports."""
         for item in message.requests:
             if self._merge_report(item) and self._is_coordinator(
@@ -302,7 +302,7 @@
             self._own in rendezvous.rank(name, names)[:COORDINATORS_PER_REQUEST]
         )
 
-    def _merge_report(self, report: ServerEnds) -> bool:
+    def _merge_report(self, report: RequestCrashes) -> bool:
         """Merges a report; returns whether the request is newly blocked."""
         blocked = self.ledger.all_blocked
         name = report.fingerprint
@@ -373,7 +373,7 @@
     ) -> None:
         for start in range(0, len(names), MAX_REQUESTS_PER_MESSAGE):
             part = names[start : start + MAX_REQUESTS_PER_MESSAGE]
-            message = CrashWord(
+            message = CrashReport(
                 self._own, [self.ledger.to_message(name, now) for name in part]
             )
             for member in members:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -53,7 +53,7 @@
     ManifestPointer,
     ManifestReply,
     Member,
-    Notice,
+    ServerNotice,
 )
 from jasminerelay.schema.settings import Settings
 from jasminerelay.servicecalls import ServiceCalls
@@ -419,7 +419,7 @@
 
     def _publish_notice(self, server: str, *, leaving: bool) -> None:
         was_leaving = server in self.membership.leaving_servers()
-        self.membership.record_notice(Notice(server, leaving, _now_ms()))
+        self.membership.record_notice(ServerNotice(server, leaving, _now_ms()))
         self.counters.incr("server.leaving" if leaving else "server.back")
         if (server in self.membership.leaving_servers()) != was_leaving:
             status_text = "is leaving" if leaving else "is available again"
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -31,7 +31,7 @@
 from jasminerelay.prefix import CacheView, PrefixIndex, part_hash
 from jasminerelay.registry import Registry
 from jasminerelay.responsemonitor import ResponseMonitor
-from jasminerelay.schema.messages import EngineSample, KindDemand, ServerLoad
+from jasminerelay.schema.messages import EngineSample, RouteDemand, ServerLoad
 from jasminerelay.serverlimits import Allowance
 from jasminerelay.stragglers import Stragglers
 from jasminerelay.tokentimes import TokenTimes
@@ -80,7 +80,7 @@
 for the network."""
 
 OnSplit = Callable[
-    [str, Mapping[str, tuple[str, ...]], Sequence[KindDemand]], None
+    [str, Mapping[str, tuple[str, ...]], Sequence[RouteDemand]], None
 ]
 
 
@@ -142,7 +142,7 @@
         self.demand_meter = DemandMeter()
         self.demand = TotalDemand()
         self._splits: dict[str, ServerSplit] = {}
-        self._kinds: dict[str, list[KindDemand]] = {}
+        self._kinds: dict[str, list[RouteDemand]] = {}
         self._splits_updated_at = float("-inf")
         self._health: dict[str, Stragglers] = {}
         self._prefixes = PrefixIndex()
@@ -702,7 +702,7 @@
         self.demand_meter.tick(now)
         self._update_splits(now)
 
-    def own_demand(self) -> list[KindDemand]:
+    def own_demand(self) -> list[RouteDemand]:
         """Returns the demand of this instance's callers, to be shared."""
         return self.demand_meter.demand(self._need_time_s)
 
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -23,9 +23,9 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import (
-    DutyWord,
-    KindDemand,
+    DutyMessage,
     Member,
+    RouteDemand,
     UsageWindow,
 )
 from jasminerelay.serverorders import ServerOrders
@@ -138,7 +138,9 @@
         self.first_start = False
         self._backoff_until = float("-inf")
         self._stopping = False
-        self.send: Callable[[Member, DutyWord], None] = lambda to, message: None
+        self.send: Callable[[Member, DutyMessage], None] = lambda to, message: (
+            None
+        )
         keeper.on_taken = self._on_lease_taken
 
     @property
@@ -190,7 +192,7 @@
             window = self._usage.window_at(self.true_s()) + 1
             self._ledger.mark_complete_from(0 if first else window)
 
-    def handle_message(self, message: DutyWord) -> None:
+    def handle_message(self, message: DutyMessage) -> None:
         """Handles another instance's message."""
         now = now_s()
         if message.skew_ms and now - self._corrected_at > CORRECTION_INTERVAL_S:
@@ -278,10 +280,10 @@
     def _make_message(
         self,
         usage: Sequence[UsageWindow] = (),
-        demand: Sequence[KindDemand] = (),
+        demand: Sequence[RouteDemand] = (),
         skew_s: float = 0.0,
-    ) -> DutyWord:
-        return DutyWord(
+    ) -> DutyMessage:
+        return DutyMessage(
             self._own.instance,
             self.holds,
             round(self.true_s() * MS_PER_S),
--- a/src/jasminerelay/fairqueue.py
+++ b/src/jasminerelay/fairqueue.py
@@ -11,7 +11,7 @@
 
 from sortedcontainers import SortedKeyList
 
-from jasminerelay.schema.messages import Ask
+from jasminerelay.schema.messages import PermitRequest
 
 
 @dataclasses.dataclass(frozen=True)
@@ -61,7 +61,7 @@
     resume_on: str = ""
 
 
-def queued_request(ask: Ask, entry: str, now: float) -> QueuedRequest:
+def queued_request(ask: PermitRequest, entry: str, now: float) -> QueuedRequest:
     """Converts a permit request to a queue entry with absolute times.
 
     The message carries durations, since the clocks of instances differ.
--- a/src/jasminerelay/groups.py
+++ b/src/jasminerelay/groups.py
@@ -16,7 +16,7 @@
 import math
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from jasminerelay.schema.messages import KindDemand
+from jasminerelay.schema.messages import RouteDemand
 
 FLOOR_SHARE = 0.7
 """Share of its proportional part that each kind gets before the remaining
@@ -129,7 +129,7 @@
 
     def demand(
         self, busy_s: Callable[[str, ResourceNeed], float]
-    ) -> list[KindDemand]:
+    ) -> list[RouteDemand]:
         """Returns the measured demand by kind, to be reported.
 
         The name of a kind includes its service, which keeps the message flat.
@@ -138,7 +138,7 @@
             busy_s: Returns how long a request occupies an engine of a service.
         """
         found = [
-            KindDemand(
+            RouteDemand(
                 f"{service}/{kind}",
                 round(meter.rate * busy_s(service, meter.need), 4),
                 round(meter.need.unread),
@@ -153,15 +153,15 @@
     """Total demand over all instances."""
 
     def __init__(self) -> None:
-        self._reports: dict[str, tuple[float, list[KindDemand]]] = {}
+        self._reports: dict[str, tuple[float, list[RouteDemand]]] = {}
 
     def update(
-        self, instance: str, demand: Iterable[KindDemand], now: float
+        self, instance: str, demand: Iterable[RouteDemand], now: float
     ) -> None:
         """Replaces the demand report of one instance."""
         self._reports[instance] = (now, list(demand))
 
-    def total(self, service: str, now: float) -> list[KindDemand]:
+    def total(self, service: str, now: float) -> list[RouteDemand]:
         """Returns the total demand on a service by kind."""
         work: dict[str, float] = {}
         weighted_size: dict[str, float] = {}
@@ -180,7 +180,7 @@
                     )
                     rank[kind] = item.rank
         return [
-            KindDemand(kind, total, weighted_size[kind] / total, rank[kind])
+            RouteDemand(kind, total, weighted_size[kind] / total, rank[kind])
             for kind, total in sorted(work.items())
             if total > MIN_WORK
         ]
@@ -199,7 +199,7 @@
         return self._groups
 
     def update(
-        self, servers: Sequence[str], demand: Sequence[KindDemand]
+        self, servers: Sequence[str], demand: Sequence[RouteDemand]
     ) -> bool:
         """Recomputes the split; returns whether it has changed.
 
@@ -226,7 +226,9 @@
         return self._groups.get(kind, ())
 
 
-def _target_counts(count: int, kinds: Sequence[KindDemand]) -> dict[str, float]:
+def _target_counts(
+    count: int, kinds: Sequence[RouteDemand]
+) -> dict[str, float]:
     """Returns each kind's target number of servers, as a fraction.
 
     If there are enough servers for all kinds, spare servers are shared in
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -19,11 +19,11 @@
 from jasminerelay.exchange import ResponseHead
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.messages import (
-    LimitAsk,
     LimitGrant,
-    LimitWord,
+    LimitGrantRequest,
+    LimitMessage,
     Member,
-    NamedLimit,
+    ServerLimit,
 )
 from jasminerelay.serverlimits import (
     FLEET_SIZE_WINDOW_S,
@@ -94,7 +94,7 @@
         )
         self._limits_present = anyio.Event()
         self.find_placer: Callable[[str], str | None] = lambda server: None
-        self.send: Callable[[Member, LimitWord], None] = lambda to, _: None
+        self.send: Callable[[Member, LimitMessage], None] = lambda to, _: None
         self.on_grant: Callable[[], None] = lambda: None
 
     def on_response(self, server: str, head: ResponseHead) -> None:
@@ -111,7 +111,7 @@
             return
         self._record_limit(server, rate, time.monotonic(), "server")
 
-    def handle_message(self, message: LimitWord) -> None:
+    def handle_message(self, message: LimitMessage) -> None:
         """Handles a message of another instance."""
         now = time.monotonic()
         for item in message.limits:
@@ -212,7 +212,7 @@
         demands = list(self.allowance.demands(now).items())
         if len(demands) > MAX_COORDINATORS_PER_ROUND:
             demands = self._rng.sample(demands, MAX_COORDINATORS_PER_ROUND)
-        asks: dict[str, list[LimitAsk]] = {}
+        asks: dict[str, list[LimitGrantRequest]] = {}
         for server, demand in demands:
             request = self._grant_request(server, demand)
             coordinator = self._coordinator_of(server)
@@ -224,13 +224,14 @@
                 asks.setdefault(coordinator, []).append(request)
         for coordinator, items in asks.items():
             self.send(
-                self._members[coordinator], LimitWord(self._own, [], items, [])
+                self._members[coordinator],
+                LimitMessage(self._own, [], items, []),
             )
 
-    def _grant_request(self, server: str, demand: Demand) -> LimitAsk:
+    def _grant_request(self, server: str, demand: Demand) -> LimitGrantRequest:
         rate = self.allowance.limits[server]
         count = max(1, math.ceil(rate * TICK_S))
-        return LimitAsk(server, demand.rank, count)
+        return LimitGrantRequest(server, demand.rank, count)
 
     def _issue_grants(self, now: float) -> None:
         share = self._fleet_share()
@@ -253,7 +254,7 @@
                 self._accept_grants(grants, now)
             elif name in self._members:
                 self.send(
-                    self._members[name], LimitWord(self._own, [], [], grants)
+                    self._members[name], LimitMessage(self._own, [], [], grants)
                 )
 
     def _issuer_for(self, server: str, now: float) -> GrantIssuer:
@@ -278,9 +279,9 @@
             self._send_limits([member], limits)
 
     def _send_limits(
-        self, members: Sequence[Member], limits: Sequence[NamedLimit]
+        self, members: Sequence[Member], limits: Sequence[ServerLimit]
     ) -> None:
         for start in range(0, len(limits), MAX_LIMITS_PER_MESSAGE):
             part = list(limits[start : start + MAX_LIMITS_PER_MESSAGE])
             for member in members:
-                self.send(member, LimitWord(self._own, part, [], []))
+                self.send(member, LimitMessage(self._own, part, [], []))
--- a/src/jasminerelay/membership.py
+++ b/src/jasminerelay/membership.py
@@ -17,7 +17,7 @@
     Gossip,
     ManifestPointer,
     Member,
-    Notice,
+    ServerNotice,
 )
 
 ALIVE = "alive"
@@ -102,7 +102,7 @@
         self._is_suspected = False
         self._suspects_to_probe: list[str] = []
         self._transmissions_left: dict[str, int] = {own.instance: FANOUT}
-        self._notices: dict[str, Notice] = {}
+        self._notices: dict[str, ServerNotice] = {}
         self._notice_transmissions_left: dict[str, int] = {}
         self.manifest_pointer = ManifestPointer(0, "")
 
@@ -118,7 +118,7 @@
         """Returns the instances that may receive new work."""
         return [member for member in self.view if member.state == ALIVE]
 
-    def notice_of(self, server: str) -> Notice | None:
+    def notice_of(self, server: str) -> ServerNotice | None:
         """Returns the newest notice about a backend server."""
         return self._notices.get(server)
 
@@ -164,7 +164,7 @@
             if address not in known_addresses
         ]
 
-    def record_notice(self, notice: Notice) -> bool:
+    def record_notice(self, notice: ServerNotice) -> bool:
         """Records a notice on a server; returns whether its state changed."""
         held = self._notices.get(notice.server)
         if held is not None and held.stamp >= notice.stamp:
--- a/src/jasminerelay/naive.py
+++ b/src/jasminerelay/naive.py
@@ -10,7 +10,12 @@
 from jasminerelay.broker import REFUSED_FULL, REFUSED_LATE, Decision
 from jasminerelay.fairqueue import QueuedRequest
 from jasminerelay.manifest import Cell
-from jasminerelay.schema.messages import Grant, LoadReport, Refusal, Release
+from jasminerelay.schema.messages import (
+    LoadReport,
+    PermitGrant,
+    PermitRefusal,
+    PermitRelease,
+)
 
 RETRY_S = 1.0
 
@@ -42,12 +47,12 @@
         """Queues a request, or schedules its refusal if the queue is full."""
         del now
         if len(self._queue) >= self._cell.max_waiting:
-            refusal = Refusal(waiting.ask_id, REFUSED_FULL, RETRY_S)
+            refusal = PermitRefusal(waiting.ask_id, REFUSED_FULL, RETRY_S)
             self._pending_refusals.append(Decision(waiting.entry, refusal))
             return
         self._queue.append(waiting)
 
-    def release(self, release: Release, now: float) -> None:
+    def release(self, release: PermitRelease, now: float) -> None:
         """Releases a permit, or withdraws a queued request."""
         del now
         self._permits.pop(release.ask_id, None)
@@ -73,7 +78,7 @@
         while self._queue:
             head = self._queue[0]
             if head.expires_at <= now:
-                refusal = Refusal(head.ask_id, REFUSED_LATE, RETRY_S)
+                refusal = PermitRefusal(head.ask_id, REFUSED_LATE, RETRY_S)
                 decisions.append(Decision(head.entry, refusal))
                 self._queue.popleft()
                 continue
@@ -83,7 +88,7 @@
             self._queue.popleft()
             self._permits[head.ask_id] = server
             self._granted_since_report[server] += 1
-            grant = Grant(head.ask_id, self._cell.name, server)
+            grant = PermitGrant(head.ask_id, self._cell.name, server)
             decisions.append(Decision(head.entry, grant))
         return decisions
 
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -17,10 +17,10 @@
 from jasminerelay.responsemonitor import PeerResponseMonitor
 from jasminerelay.schema.messages import (
     CellQueue,
-    KindDemand,
-    OwnerWord,
-    PlaceAnswer,
-    PlaceWord,
+    CellUpdate,
+    OwnerAnswers,
+    PlacementAnswer,
+    RouteDemand,
     ServerLoad,
 )
 from jasminerelay.serverlimits import Allowance
@@ -84,7 +84,7 @@
         """Number of requests that wait in all cells."""
         return sum(len(cell.queue) for cell in self._cells.values())
 
-    def handle_message(self, message: PlaceWord) -> None:
+    def handle_message(self, message: CellUpdate) -> None:
         """Processes an update: all requests of an instance at a cell.
 
         The receiver places the requests even if it doesn't consider itself the
@@ -99,10 +99,12 @@
             servers = CellServers(self._registry, message.service, message.cell)
             if not servers.exists:
                 self._counters.incr("place.foreign")
-                foreign = [PlaceAnswer(x.number, FOREIGN) for x in message.asks]
+                foreign = [
+                    PlacementAnswer(x.number, FOREIGN) for x in message.asks
+                ]
                 self.answer(
                     message.peers,
-                    OwnerWord(
+                    OwnerAnswers(
                         self._own, message.service, message.cell, foreign
                     ),
                 )
@@ -148,7 +150,7 @@
         """Returns the loads of the servers of all owned cells."""
         return [load for x in self._cells.values() for load in x.loads(now)]
 
-    def demand(self) -> list[KindDemand]:
+    def demand(self) -> list[RouteDemand]:
         """Returns the demand at all owned cells."""
         return [kind for x in self._cells.values() for kind in x.demand()]
 
--- a/src/jasminerelay/owning.py
+++ b/src/jasminerelay/owning.py
@@ -27,15 +27,15 @@
 from jasminerelay.responsemonitor import PeerResponseMonitor
 from jasminerelay.schema.messages import (
     CellQueue,
-    EndWord,
-    KindDemand,
-    OwnerWord,
-    PlaceAnswer,
-    PlaceAsk,
-    PlaceWord,
-    RunWord,
+    CellUpdate,
+    InFlightReport,
+    OwnerAnswers,
+    PlacementAnswer,
+    PlacementRequest,
+    RequestEndReport,
+    RouteDemand,
     ServerLoad,
-    TokenWord,
+    ServerObservation,
 )
 from jasminerelay.workload import InFlightRequest
 
@@ -48,7 +48,7 @@
 """Time that a redirected request must save, beyond the repeated prefill of its
 shared prefix. Allows for the age of the other cells' queue estimates."""
 
-SendAnswers = Callable[[str, OwnerWord], None]
+SendAnswers = Callable[[str, OwnerAnswers], None]
 """Sends answers to an address."""
 
 
@@ -66,7 +66,7 @@
     call: Call | None = None
     queue_entry: QueueEntry | None = None
     run: InFlightRequest | None = None
-    answer: PlaceAnswer | None = None
+    answer: PlacementAnswer | None = None
 
 
 @dataclasses.dataclass
@@ -142,7 +142,7 @@
         """Whether no instance has requests here."""
         return not self._senders
 
-    def receive(self, message: PlaceWord, now: float) -> None:
+    def receive(self, message: CellUpdate, now: float) -> None:
         """Processes an update: all requests of an instance at this cell."""
         sender = self._senders.setdefault(
             message.sender, _Sender(message.peers)
@@ -198,7 +198,7 @@
             )
         return found
 
-    def demand(self) -> list[KindDemand]:
+    def demand(self) -> list[RouteDemand]:
         """Returns the demand of all instances at the cell."""
         return self._dispatcher.own_demand()
 
@@ -225,14 +225,14 @@
         )
 
     def _handle_request(
-        self, sender: _Sender, message: PlaceAsk, now: float
-    ) -> PlaceAnswer:
+        self, sender: _Sender, message: PlacementRequest, now: float
+    ) -> PlacementAnswer:
         held = sender.requests.get(message.number)
         if held is not None:
             return held.answer or self._waiting_answer(sender, message, held)
         call = call_of(message, self._service, self._registry.catalog, now)
         if call is None:
-            return PlaceAnswer(message.number, FOREIGN)
+            return PlacementAnswer(message.number, FOREIGN)
         if message.first:
             self._dispatcher.record_arrival(call)
         request = _Request(call)
@@ -255,17 +255,19 @@
         return request.answer or self._waiting_answer(sender, message, request)
 
     def _waiting_answer(
-        self, sender: _Sender, message: PlaceAsk, request: _Request
-    ) -> PlaceAnswer:
+        self, sender: _Sender, message: PlacementRequest, request: _Request
+    ) -> PlacementAnswer:
         """Answers for a waiting request: redirect it, or keep it waiting."""
         passed = self._redirect(message, request.call)
         if passed is None:
-            return PlaceAnswer(message.number, WAITING)
+            return PlacementAnswer(message.number, WAITING)
         del sender.requests[message.number]
         self._drop(request)
         return passed
 
-    def _redirect(self, message: PlaceAsk, call: Call) -> PlaceAnswer | None:
+    def _redirect(
+        self, message: PlacementRequest, call: Call
+    ) -> PlacementAnswer | None:
         """Returns a redirect to another cell, if one serves the request sooner.
 
         Shared prefixes are spread evenly over the cells, but requests and
@@ -288,10 +290,10 @@
         servers = len(self._registry.servers_of(self._service))
         busy_s = self._dispatcher.busy_s(call) / max(1, servers)
         self._queues.add((self._service, cell), kind, busy_s)
-        return PlaceAnswer(message.number, ELSEWHERE, cell=cell)
+        return PlacementAnswer(message.number, ELSEWHERE, cell=cell)
 
     def _update_runs(
-        self, sender: _Sender, runs: Iterable[RunWord], now: float
+        self, sender: _Sender, runs: Iterable[InFlightReport], now: float
     ) -> bool:
         """Updates in-flight requests; returns whether any prefill has ended."""
         freed = False
@@ -332,7 +334,7 @@
             )
 
     def _record_ends(
-        self, sender: _Sender, ended: Iterable[EndWord], now: float
+        self, sender: _Sender, ended: Iterable[RequestEndReport], now: float
     ) -> None:
         health = self._dispatcher.health(self._service)
         for item in ended:
@@ -348,7 +350,7 @@
                 )
 
     def _record_observations(
-        self, tokens: Iterable[TokenWord], now: float
+        self, tokens: Iterable[ServerObservation], now: float
     ) -> None:
         for item in tokens:
             if item.silent:
@@ -368,8 +370,8 @@
         if request.run is not None:
             request.run.end()
 
-    def _send(self, sender: _Sender, answers: list[PlaceAnswer]) -> None:
+    def _send(self, sender: _Sender, answers: list[PlacementAnswer]) -> None:
         self._answer(
             sender.peers,
-            OwnerWord(self._own, self._service, self._cell, answers),
+            OwnerAnswers(self._own, self._service, self._cell, answers),
         )
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -36,15 +36,15 @@
 from jasminerelay.placementclient import PlacementClient
 from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import (
-    CrashWord,
-    DutyWord,
-    LimitWord,
+    CellUpdate,
+    CrashReport,
+    DutyMessage,
+    LimitMessage,
     Member,
-    OwnerWord,
-    PeerWord,
-    PlaceWord,
-    Snapshot,
-    Standing,
+    OwnerAnswers,
+    PeerMessage,
+    ReplicaStatus,
+    StoreSnapshot,
 )
 
 LOAD_INTERVAL_S = 0.1
@@ -103,7 +103,7 @@
 second."""
 
 _encode = msgspec.msgpack.encode
-_decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
+_decode_snapshot = msgspec.msgpack.Decoder(StoreSnapshot).decode
 
 
 class PeerLink:
@@ -138,11 +138,11 @@
         self._owned: OwnedCells | None = None
         self._asking: PlacementClient | None = None
         self._followers: FollowerRole | None = None
-        self.on_snapshot: Callable[[Snapshot, str], None] = lambda *_: None
+        self.on_snapshot: Callable[[StoreSnapshot, str], None] = lambda *_: None
         self.on_store_lost: Callable[[], None] = lambda: None
-        self.on_crashes: Callable[[CrashWord], None] = lambda message: None
-        self.on_limits: Callable[[LimitWord], None] = lambda message: None
-        self.on_duty: Callable[[DutyWord], None] = lambda message: None
+        self.on_crashes: Callable[[CrashReport], None] = lambda message: None
+        self.on_limits: Callable[[LimitMessage], None] = lambda message: None
+        self.on_duty: Callable[[DutyMessage], None] = lambda message: None
 
     @property
     def count(self) -> int:
@@ -186,18 +186,18 @@
         asking.send = self._send_to_owner
 
     def send_message(
-        self, member: Member, message: CrashWord | LimitWord | DutyWord
+        self, member: Member, message: CrashReport | LimitMessage | DutyMessage
     ) -> None:
         """Sends a message to another instance."""
         self._send_to(member.peers, peerwords.encode(message))
 
-    def _send_to_owner(self, owner: Member, message: PlaceWord) -> None:
+    def _send_to_owner(self, owner: Member, message: CellUpdate) -> None:
         if owner.instance == self.membership.own_member.instance:
             self._owned.handle_message(message)
         else:
             self._send_to(owner.peers, peerwords.encode(message))
 
-    def _send_answer(self, address: str, message: OwnerWord) -> None:
+    def _send_answer(self, address: str, message: OwnerAnswers) -> None:
         if address == self.membership.own_member.peers:
             self._asking.handle_message(message)
         else:
@@ -304,7 +304,7 @@
             data = peerwords.encode(self._peer_message(send.gossip))
             self._send_to(send.address, data)
 
-    def _peer_message(self, gossip) -> PeerWord:
+    def _peer_message(self, gossip) -> PeerMessage:
         self._number += 1
         now = time.monotonic()
         if self._uses_owners:
@@ -314,7 +314,7 @@
             queues = []
             loads = self._dispatcher.own_loads(now)
             demand = self._dispatcher.own_demand()
-        return PeerWord(
+        return PeerMessage(
             gossip,
             self.membership.own_member.instance,
             self._number,
@@ -324,7 +324,7 @@
             queues=queues,
         )
 
-    def _own_status(self) -> Standing:
+    def _own_status(self) -> ReplicaStatus:
         age_s = self._freshness.age_s(now_s())
         age_ms = -1 if math.isinf(age_s) else int(age_s * 1000)
         return dataclasses.replace(self._registry.standing, age_ms=age_ms)
@@ -362,30 +362,30 @@
             self._dispatch(message)
 
     @functools.singledispatchmethod
-    def _dispatch(self, message: PlaceWord) -> None:
+    def _dispatch(self, message: CellUpdate) -> None:
         self._owned.handle_message(message)
 
     @_dispatch.register
-    def _(self, message: OwnerWord) -> None:
+    def _(self, message: OwnerAnswers) -> None:
         self._asking.handle_message(message)
 
     @_dispatch.register
-    def _(self, message: CrashWord) -> None:
+    def _(self, message: CrashReport) -> None:
         self.on_crashes(message)
 
     @_dispatch.register
-    def _(self, message: LimitWord) -> None:
+    def _(self, message: LimitMessage) -> None:
         self.on_limits(message)
 
     @_dispatch.register
-    def _(self, message: DutyWord) -> None:
+    def _(self, message: DutyMessage) -> None:
         self.on_duty(message)
 
     @_dispatch.register
-    def _(self, message: PeerWord) -> None:
+    def _(self, message: PeerMessage) -> None:
         self._handle_peer_message(message)
 
-    def _handle_peer_message(self, message: PeerWord) -> None:
+    def _handle_peer_message(self, message: PeerMessage) -> None:
         now = time.monotonic()
         if message.sender == self.membership.own_member.instance:
             return
@@ -492,7 +492,7 @@
         )
         await send({"type": "http.response.body", "body": body})
 
-    def _compress(self, snapshot: Snapshot) -> Snapshot:
+    def _compress(self, snapshot: StoreSnapshot) -> StoreSnapshot:
         if not snapshot.configuration:
             return snapshot
         if self._compressed[0] != snapshot.configuration_version:
@@ -501,7 +501,7 @@
         return dataclasses.replace(snapshot, configuration=self._compressed[1])
 
 
-def decompressed(snapshot: Snapshot) -> Snapshot:
+def decompressed(snapshot: StoreSnapshot) -> StoreSnapshot:
     """Returns a snapshot with its configuration decompressed.
 
     Raises:
--- a/src/jasminerelay/peers.py
+++ b/src/jasminerelay/peers.py
@@ -20,8 +20,8 @@
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.messages import (
     BrokerFrame,
-    EntryFrame,
     Gossip,
+    InstanceFrame,
     ManifestPointer,
     ManifestReply,
 )
@@ -154,7 +154,7 @@
             self._task_group = group
             await anyio.sleep_forever()
 
-    def send(self, peer: str, frame: EntryFrame) -> None:
+    def send(self, peer: str, frame: InstanceFrame) -> None:
         """Queues a frame for the broker of an instance.
 
         A frame may be lost with its link; the permit client sends its full
@@ -251,7 +251,7 @@
         handlers = {
             "Permits": grpc.stream_stream_rpc_method_handler(
                 self._serve_permits,
-                request_deserializer=_decoder(EntryFrame),
+                request_deserializer=_decoder(InstanceFrame),
                 response_serializer=_encode,
             ),
             "Manifest": grpc.unary_unary_rpc_method_handler(
@@ -422,7 +422,7 @@
         self.send(answers)
 
 
-def _drain(source) -> list[EntryFrame]:
+def _drain(source) -> list[InstanceFrame]:
     frames = []
     while True:
         try:
@@ -431,10 +431,10 @@
             return frames
 
 
-def _merge(frames: list[EntryFrame]) -> EntryFrame:
+def _merge(frames: list[InstanceFrame]) -> InstanceFrame:
     if len(frames) == 1:
         return frames[0]
-    return EntryFrame(
+    return InstanceFrame(
         frames[0].instance,
         frames[0].incarnation,
         [item for frame in frames for item in frame.asks],
--- a/src/jasminerelay/peerstatus.py
+++ b/src/jasminerelay/peerstatus.py
@@ -8,7 +8,7 @@
 
 from jasminerelay.freshness import Freshness
 from jasminerelay.registry import Registry, StoreStatus
-from jasminerelay.schema.messages import Standing
+from jasminerelay.schema.messages import ReplicaStatus
 
 FETCH_DELAY_S = 0.25
 """How long an instance that is behind waits for the store before it fetches
@@ -36,12 +36,12 @@
         """
         self._registry = registry
         self._freshness = freshness
-        self._reports: dict[str, tuple[float, Standing]] = {}
+        self._reports: dict[str, tuple[float, ReplicaStatus]] = {}
         self._behind_since: float | None = None
         self._newer_peer = ""
 
     def record_report(
-        self, sender: str, standing: Standing, now: float, at: float
+        self, sender: str, standing: ReplicaStatus, now: float, at: float
     ) -> None:
         """Records the standing that another instance reported.
 
@@ -58,7 +58,7 @@
         elif standing.age_ms >= 0:
             self._freshness.record_peer_age(standing.age_ms / 1000, at)
 
-    def reports_store_loss(self, sender: str, standing: Standing) -> bool:
+    def reports_store_loss(self, sender: str, standing: ReplicaStatus) -> bool:
         """Returns whether a sender newly reports that it has lost the store."""
         if standing.touch != StoreStatus.UNREACHABLE:
             return False
--- a/src/jasminerelay/peerwords.py
+++ b/src/jasminerelay/peerwords.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from jasminerelay.schema.messages import (
-    CrashWord,
+    CellUpdate,
+    CrashReport,
     DemandColumns,
-    DutyWord,
-    KindDemand,
-    LimitWord,
+    DutyMessage,
+    LimitMessage,
     LoadColumns,
-    OwnerWord,
-    PeerWord,
-    PlaceWord,
+    OwnerAnswers,
+    PeerMessage,
+    RouteDemand,
     ServerLoad,
 )
 
@@ -32,15 +32,22 @@
 """First bytes that distinguish the kinds of datagrams. The periodic message to
 other instances has none; it starts with the first byte of a map."""
 
-Message = PeerWord | PlaceWord | OwnerWord | CrashWord | LimitWord | DutyWord
+Message = (
+    PeerMessage
+    | CellUpdate
+    | OwnerAnswers
+    | CrashReport
+    | LimitMessage
+    | DutyMessage
+)
 
 _encode = msgspec.msgpack.encode
-_decode_peer = msgspec.msgpack.Decoder(PeerWord).decode
-_decode_place = msgspec.msgpack.Decoder(PlaceWord).decode
-_decode_owner = msgspec.msgpack.Decoder(OwnerWord).decode
-_decode_crash = msgspec.msgpack.Decoder(CrashWord).decode
-_decode_limit = msgspec.msgpack.Decoder(LimitWord).decode
-_decode_duty = msgspec.msgpack.Decoder(DutyWord).decode
+_decode_peer = msgspec.msgpack.Decoder(PeerMessage).decode
+_decode_place = msgspec.msgpack.Decoder(CellUpdate).decode
+_decode_owner = msgspec.msgpack.Decoder(OwnerAnswers).decode
+_decode_crash = msgspec.msgpack.Decoder(CrashReport).decode
+_decode_limit = msgspec.msgpack.Decoder(LimitMessage).decode
+_decode_duty = msgspec.msgpack.Decoder(DutyMessage).decode
 
 
 @functools.singledispatch
@@ -50,27 +57,27 @@
 
 
 @encode.register
-def _(message: PlaceWord) -> bytes:
+def _(message: CellUpdate) -> bytes:
     return PLACE_MARK + _encode(message)
 
 
 @encode.register
-def _(message: OwnerWord) -> bytes:
+def _(message: OwnerAnswers) -> bytes:
     return OWNER_MARK + _encode(message)
 
 
 @encode.register
-def _(message: CrashWord) -> bytes:
+def _(message: CrashReport) -> bytes:
     return CRASH_MARK + _encode(message)
 
 
 @encode.register
-def _(message: LimitWord) -> bytes:
+def _(message: LimitMessage) -> bytes:
     return LIMIT_MARK + _encode(message)
 
 
 @encode.register
-def _(message: DutyWord) -> bytes:
+def _(message: DutyMessage) -> bytes:
     return DUTY_MARK + _encode(message)
 
 
@@ -94,33 +101,33 @@
     return _checked_peer(_decode_peer(data))
 
 
-def _checked_place(message: PlaceWord) -> PlaceWord:
+def _checked_place(message: CellUpdate) -> CellUpdate:
     for placement in message.asks:
         _check_equal_lengths(placement.parts, placement.part_tokens)
     return message
 
 
-def _checked_crash(message: CrashWord) -> CrashWord:
+def _checked_crash(message: CrashReport) -> CrashReport:
     for item in message.requests:
         _check_equal_lengths(item.servers, item.ages_ms)
     return message
 
 
-def _checked_limit(message: LimitWord) -> LimitWord:
+def _checked_limit(message: LimitMessage) -> LimitMessage:
     for item in message.limits:
         if not math.isfinite(item.rate):
             raise ValueError("rate limit in a datagram is not a finite number")
     return message
 
 
-def _checked_duty(message: DutyWord) -> DutyWord:
+def _checked_duty(message: DutyMessage) -> DutyMessage:
     for item in message.usage:
         _check_equal_lengths(item.organisations, item.counts)
     _check_demand(message.demand)
     return message
 
 
-def _checked_peer(message: PeerWord) -> PeerWord:
+def _checked_peer(message: PeerMessage) -> PeerMessage:
     loads, demand = message.loads, message.demand
     _check_equal_lengths(
         loads.servers, loads.unread, loads.running, loads.memory, loads.token_us
@@ -160,7 +167,7 @@
     ]
 
 
-def demand_columns(demand: Iterable[KindDemand]) -> DemandColumns:
+def demand_columns(demand: Iterable[RouteDemand]) -> DemandColumns:
     """Converts demand to lists, one for each field."""
     columns = DemandColumns([], [], [], [])
     for item in demand:
@@ -171,10 +178,10 @@
     return columns
 
 
-def demand_rows(columns: DemandColumns) -> list[KindDemand]:
+def demand_rows(columns: DemandColumns) -> list[RouteDemand]:
     """Converts lists of fields back to demand."""
     return [
-        KindDemand(*row)
+        RouteDemand(*row)
         for row in zip(
             columns.kinds,
             columns.work,
--- a/src/jasminerelay/permitclient.py
+++ b/src/jasminerelay/permitclient.py
@@ -17,41 +17,41 @@
 from jasminerelay.naive import NaiveBroker
 from jasminerelay.schema.manifest import Organisation, Pool, Service
 from jasminerelay.schema.messages import (
-    Ask,
-    Borrow,
+    BorrowRequest,
     BrokerFrame,
-    EntryFrame,
-    Grant,
-    Held,
+    HeldPermit,
+    InstanceFrame,
     LoadReport,
-    Loan,
     Member,
-    Refusal,
-    Release,
-    Revoke,
+    PermitGrant,
+    PermitRefusal,
+    PermitRelease,
+    PermitRequest,
+    PermitRevocation,
+    TokenLoan,
 )
 
 TICK_S = 0.1
 COORDINATION_BROKER = "broker"
 COORDINATION_NAIVE = "naive"
 
-SendTo = Callable[[str, EntryFrame], None]
+SendTo = Callable[[str, InstanceFrame], None]
 
 
 @dataclasses.dataclass
 class _PendingRequest:
-    request: Ask
+    request: PermitRequest
     started: float
     done: anyio.Event
     broker_name: str = ""
     requested_at: float = 0.0
     local: bool = False
-    result: Grant | Refusal | None = None
+    result: PermitGrant | PermitRefusal | None = None
 
 
 @dataclasses.dataclass
 class _PermitRecord:
-    held: Held
+    held: HeldPermit
     broker_name: str
     revoked: bool = False
 
@@ -108,7 +108,7 @@
         self._borrowers: dict[str, BorrowedBalance] = {}
         self._fallback_buckets: dict[str, TokenBucket] = {}
         self._loan_events: dict[str, list[anyio.Event]] = {}
-        self._last_loans: dict[str, Loan] = {}
+        self._last_loans: dict[str, TokenLoan] = {}
 
     @property
     def waiting(self) -> int:
@@ -147,7 +147,9 @@
         """Returns the cells of a pool or service."""
         return self._directory().cells_of(group)
 
-    async def acquire(self, request: Ask) -> Grant | Refusal:
+    async def acquire(
+        self, request: PermitRequest
+    ) -> PermitGrant | PermitRefusal:
         """Requests a permit; waits for the grant or the refusal."""
         pending = _PendingRequest(request, time.monotonic(), anyio.Event())
         self._pending[request.ask_id] = pending
@@ -160,14 +162,14 @@
             raise
         return pending.result
 
-    def take_over(self, held: Held) -> None:
+    def take_over(self, held: HeldPermit) -> None:
         """Takes over a permit that another instance held for a stream."""
         broker_name = self._broker_of(held.cell)
         self._wake.set()
         self._held_permits[held.ask_id] = _PermitRecord(held, broker_name)
         self._send(broker_name, self._frame(held=[held]))
 
-    def release(self, release: Release) -> None:
+    def release(self, release: PermitRelease) -> None:
         """Releases a permit."""
         permit = self._held_permits.pop(release.ask_id, None)
         if permit is None:
@@ -187,7 +189,7 @@
 
     async def take_tokens(
         self, organisation: Organisation, tokens: float
-    ) -> Loan | None:
+    ) -> TokenLoan | None:
         """Takes tokens from an organisation's rate limit, borrowing if needed.
 
         Returns:
@@ -393,12 +395,12 @@
         raise TypeError(f"unexpected message {message!r} from {peer}")
 
     @_handle.register
-    def _handle_grant(self, message: Grant, peer: str) -> None:
+    def _handle_grant(self, message: PermitGrant, peer: str) -> None:
         pending = self._pending.pop(message.ask_id, None)
         if pending is None:
             self._release_late_grant(message, peer)
             return
-        held = Held(
+        held = HeldPermit(
             message.ask_id,
             pending.request.cell,
             message.server,
@@ -418,7 +420,7 @@
         self._finish(pending, message)
 
     @_handle.register
-    def _handle_refusal(self, message: Refusal, peer: str) -> None:
+    def _handle_refusal(self, message: PermitRefusal, peer: str) -> None:
         pending = self._pending.get(message.ask_id)
         if pending is None:
             return
@@ -439,24 +441,24 @@
         self._finish(pending, message)
 
     @_handle.register
-    def _handle_revoke(self, message: Revoke, peer: str) -> None:
+    def _handle_revoke(self, message: PermitRevocation, peer: str) -> None:
         del peer
         permit = self._held_permits.get(message.ask_id)
         if permit is not None:
             permit.revoked = True
 
     @_handle.register
-    def _handle_loan(self, message: Loan, peer: str) -> None:
+    def _handle_loan(self, message: TokenLoan, peer: str) -> None:
         del peer
         self._last_loans[message.organisation] = message
         for event in self._loan_events.pop(message.organisation, []):
             event.set()
 
-    def _manifest_has_cell(self, request: Ask) -> bool:
+    def _manifest_has_cell(self, request: PermitRequest) -> bool:
         directory = self._directory()
         return directory is not None and request.cell in directory.cells
 
-    def _release_late_grant(self, grant: Grant, peer: str) -> None:
+    def _release_late_grant(self, grant: PermitGrant, peer: str) -> None:
         """Releases a grant whose request is no longer pending.
 
         A broker that was frozen grants from its old queue when it resumes.
@@ -468,11 +470,11 @@
             return
         self._counters.incr("permit.late_grants")
         if peer:
-            gone = Release(grant.ask_id, grant.cell, 0.0, False, 0.0)
+            gone = PermitRelease(grant.ask_id, grant.cell, 0.0, False, 0.0)
             self._send(peer, self._frame(releases=[gone]))
 
     def _finish(
-        self, pending: _PendingRequest, result: Grant | Refusal
+        self, pending: _PendingRequest, result: PermitGrant | PermitRefusal
     ) -> None:
         pending.result = result
         pending.done.set()
@@ -493,7 +495,7 @@
         if local is not None and pending.local:
             local.release(_empty_release(pending.request), time.monotonic())
 
-    def _refreshed_request(self, pending: _PendingRequest) -> Ask:
+    def _refreshed_request(self, pending: _PendingRequest) -> PermitRequest:
         waited = time.monotonic() - pending.started
         return dataclasses.replace(
             pending.request,
@@ -503,12 +505,12 @@
 
     async def _request_loan(
         self, organisation: Organisation, wanted: float
-    ) -> Loan:
+    ) -> TokenLoan:
         names = [member.instance for member in self._live()]
         coordinator = rendezvous.owner(organisation.name, names)
         event = anyio.Event()
         self._loan_events.setdefault(organisation.name, []).append(event)
-        borrow = Borrow(organisation.name, wanted)
+        borrow = BorrowRequest(organisation.name, wanted)
         self._send(
             coordinator or self._own.instance, self._frame(borrows=[borrow])
         )
@@ -525,10 +527,10 @@
             share = TokenBucket(Limit(rate, rate), now)
             self._fallback_buckets[organisation.name] = share
         lent = share.lend(wanted, now)
-        return Loan(organisation.name, lent, share.retry_s(wanted))
+        return TokenLoan(organisation.name, lent, share.retry_s(wanted))
 
     def _frame(self, *, asks=(), held=(), releases=(), borrows=()):
-        return EntryFrame(
+        return InstanceFrame(
             self._own.instance,
             self._own.incarnation,
             list(asks),
@@ -542,5 +544,5 @@
     return Limit.of(organisation.tokens_per_s, organisation.burst_tokens)
 
 
-def _empty_release(request: Ask | Held) -> Release:
-    return Release(request.ask_id, request.cell, 0.0, False, 0.0)
+def _empty_release(request: PermitRequest | HeldPermit) -> PermitRelease:
+    return PermitRelease(request.ask_id, request.cell, 0.0, False, 0.0)
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -34,12 +34,12 @@
 from jasminerelay.placing import PlacementDecision
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
-    EndWord,
+    CellUpdate,
     Member,
-    OwnerWord,
-    PlaceAnswer,
-    PlaceWord,
-    TokenWord,
+    OwnerAnswers,
+    PlacementAnswer,
+    RequestEndReport,
+    ServerObservation,
 )
 from jasminerelay.workload import InFlightRequest
 
@@ -104,7 +104,7 @@
     avoid: frozenset[str]
     cell: Cell
     owner: Member
-    answer: PlaceAnswer | None = None
+    answer: PlacementAnswer | None = None
     changed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
     owner_failed: bool = False
     passed: bool = False
@@ -160,14 +160,14 @@
         self._pending: dict[int, _PendingRequest] = {}
         self._updates: dict[Cell, _UpdateState] = {}
         self._former_owners: dict[tuple[Cell, str], int] = {}
-        self._ends: dict[Cell, list[EndWord]] = {}
+        self._ends: dict[Cell, list[RequestEndReport]] = {}
         self._wake = anyio.Event()
         self._live: dict[str, Member] = {}
         self._owners: dict[Cell, Member | None] = {}
         self._owner_seen_at: dict[str, float] = {}
         self._backoff_until: dict[str, float] = {}
         self.active = False
-        self.send: Callable[[Member, PlaceWord], None] = lambda to, message: (
+        self.send: Callable[[Member, CellUpdate], None] = lambda to, message: (
             None
         )
 
@@ -240,7 +240,7 @@
         if self.active:
             self._wake.set()
 
-    def handle_message(self, message: OwnerWord) -> None:
+    def handle_message(self, message: OwnerAnswers) -> None:
         """Processes answers from an owner."""
         self._owner_seen_at[message.sender] = time.monotonic()
         self._backoff_until.pop(message.sender, None)
@@ -347,7 +347,7 @@
         return True
 
     def _reserve(
-        self, pending: _PendingRequest, answer: PlaceAnswer
+        self, pending: _PendingRequest, answer: PlacementAnswer
     ) -> Reservation | None:
         server = self._registry.server(answer.server)
         if server is None or server.draining or server.id in pending.avoid:
@@ -456,7 +456,7 @@
             if pending.cell == cell
         ]
         self._record_update(cell, owner, now, held=bool(runs or asks))
-        message = PlaceWord(
+        message = CellUpdate(
             self._own,
             self._address,
             *cell,
@@ -499,7 +499,7 @@
             number = self._next_number()
             self.send(
                 former,
-                PlaceWord(
+                CellUpdate(
                     self._own, self._address, *cell, number, [], [], [], []
                 ),
             )
@@ -535,7 +535,7 @@
 
     def _observations(
         self, servers: Iterable[str], now: float
-    ) -> list[TokenWord]:
+    ) -> list[ServerObservation]:
         observations = []
         paces = self._dispatcher.token_times
         for name in servers:
@@ -544,7 +544,7 @@
             silent = self._dispatcher.silent(name, now)
             if token_s or step_s or silent:
                 observations.append(
-                    TokenWord(
+                    ServerObservation(
                         name, round(US * token_s), round(US * step_s), silent
                     )
                 )
--- a/src/jasminerelay/placewords.py
+++ b/src/jasminerelay/placewords.py
@@ -8,10 +8,10 @@
 from jasminerelay.placementqueue import QueueEntry
 from jasminerelay.prefix import part_hash
 from jasminerelay.schema.messages import (
-    EndWord,
-    PlaceAnswer,
-    PlaceAsk,
-    RunWord,
+    InFlightReport,
+    PlacementAnswer,
+    PlacementRequest,
+    RequestEndReport,
 )
 from jasminerelay.workload import InFlightRequest, RequestEnd, Verdict
 
@@ -31,7 +31,7 @@
 
 def placement_request(
     number: int, call: Call, avoid: frozenset[str], passed: bool, now: float
-) -> PlaceAsk:
+) -> PlacementRequest:
     """Returns the message that requests a placement.
 
     Args:
@@ -44,7 +44,7 @@
     prompt = call.prompt
     shared = prompt.shared_parts if prompt is not None else ()
     hint = prompt.expected_output if prompt is not None else None
-    return PlaceAsk(
+    return PlacementRequest(
         number=number,
         call=call.id,
         route=call.route.name,
@@ -63,7 +63,7 @@
 
 
 def call_of(
-    request: PlaceAsk, service: str, catalog: Catalog | None, now: float
+    request: PlacementRequest, service: str, catalog: Catalog | None, now: float
 ) -> Call | None:
     """Returns the request to place; None if its route is unknown.
 
@@ -92,16 +92,18 @@
     )
 
 
-def in_flight_report(run: InFlightRequest) -> RunWord:
+def in_flight_report(run: InFlightRequest) -> InFlightReport:
     """Returns the message about an in-flight request."""
     first_s = run.first_s
     first_ms = NO_VALUE if first_s is None else round(MS * first_s)
-    return RunWord(run.number, run.server, run.unread, run.memory, first_ms)
+    return InFlightReport(
+        run.number, run.server, run.unread, run.memory, first_ms
+    )
 
 
-def request_end_report(end: RequestEnd) -> EndWord:
+def request_end_report(end: RequestEnd) -> RequestEndReport:
     """Returns the message about a request that has ended."""
-    return EndWord(
+    return RequestEndReport(
         end.number,
         end.server,
         end.verdict is Verdict.GOOD,
@@ -110,17 +112,17 @@
     )
 
 
-def placement_answer(number: int, queue_entry: QueueEntry) -> PlaceAnswer:
+def placement_answer(number: int, queue_entry: QueueEntry) -> PlacementAnswer:
     """Returns the answer for a request that was placed or refused."""
     if queue_entry.refused is not None:
-        return PlaceAnswer(
+        return PlacementAnswer(
             number,
             REFUSED,
             why=queue_entry.refused.message,
             retry_ms=round(MS * (queue_entry.refused.retry_s or 0.0)),
         )
     placed = queue_entry.reservation.placed
-    return PlaceAnswer(
+    return PlacementAnswer(
         number,
         PLACED,
         placed.server.id,
@@ -130,7 +132,7 @@
     )
 
 
-def _prompt_of(request: PlaceAsk) -> Prompt | None:
+def _prompt_of(request: PlacementRequest) -> Prompt | None:
     if request.own_tokens == NO_VALUE:
         return None
     shared = tuple(
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -49,7 +49,7 @@
     TableSource,
 )
 from jasminerelay.registry import Registry
-from jasminerelay.schema.messages import Member, Snapshot
+from jasminerelay.schema.messages import Member, StoreSnapshot
 from jasminerelay.schema.settings import Statsd
 from jasminerelay.sharedbudget import SharedRetryBudget
 from jasminerelay.stopping import PlannedShutdown
@@ -429,7 +429,7 @@
         self.dispatcher.gone(server)
         self._owned_cells.gone(server)
 
-    def _merge_snapshot(self, snapshot: Snapshot, peer: str) -> None:
+    def _merge_snapshot(self, snapshot: StoreSnapshot, peer: str) -> None:
         try:
             changes = self.registry.merge_snapshot(snapshot)
         except ValueError as exc:
--- a/src/jasminerelay/platform/tables.py
+++ b/src/jasminerelay/platform/tables.py
@@ -9,7 +9,7 @@
 from jasminerelay.eventlog import EventLog
 from jasminerelay.fencing import LeaseRow
 from jasminerelay.platform.storeclient import Condition, NewRow, Store
-from jasminerelay.schema.messages import ServerEnds, ServerRow
+from jasminerelay.schema.messages import RequestCrashes, ServerRow
 from jasminerelay.storefollowing import TablePage
 from jasminerelay.usage import Report
 
@@ -206,11 +206,11 @@
         self._store = store
         self._log = log
 
-    async def save(self, crashes: ServerEnds) -> None:
+    async def save(self, crashes: RequestCrashes) -> None:
         """Writes a request's row; raises StoreError on failure."""
         await _save(self._store, crashes)
 
-    async def read(self) -> list[ServerEnds]:
+    async def read(self) -> list[RequestCrashes]:
         """Returns the crashes of all rows; raises StoreError on failure."""
         found = []
         now_ms = round(time.time() * MS_PER_S)
@@ -229,10 +229,10 @@
 
 async def release_request(store: Store, fingerprint: str) -> None:
     """Unblocks a request; raises StoreError on failure."""
-    await _save(store, ServerEnds(fingerprint, [], [], 0))
+    await _save(store, RequestCrashes(fingerprint, [], [], 0))
 
 
-async def _save(store: Store, crashes: ServerEnds) -> None:
+async def _save(store: Store, crashes: RequestCrashes) -> None:
     now_ms = round(time.time() * MS_PER_S)
     row = _BlockedRequest(
         crashes.servers,
@@ -245,11 +245,11 @@
 
 def _decode_crashes(
     name: str, held: _BlockedRequest, now_ms: int
-) -> ServerEnds:
+) -> RequestCrashes:
     if len(held.servers) != len(held.ended_ms):
         raise ValueError("servers and ended_ms differ in length")
     cleared = held.cleared_ms
-    return ServerEnds(
+    return RequestCrashes(
         name,
         held.servers,
         [max(0, now_ms - at) for at in held.ended_ms],
--- a/src/jasminerelay/registry.py
+++ b/src/jasminerelay/registry.py
@@ -21,7 +21,7 @@
 import xxhash
 
 from jasminerelay.catalog import BackendServer, Catalog
-from jasminerelay.schema.messages import ServerRow, Snapshot, Standing
+from jasminerelay.schema.messages import ReplicaStatus, ServerRow, StoreSnapshot
 
 RETURN_GRACE_S = 2.2
 """How long a server whose row lapsed during a store outage stays in use after
@@ -146,9 +146,9 @@
         return self._servers_version
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> ReplicaStatus:
         """The versions and the digest of this registry, for other instances."""
-        return Standing(
+        return ReplicaStatus(
             self._configuration[0],
             self._servers_version,
             self._digest,
@@ -280,7 +280,7 @@
             self._rebuild()
         return [held.server for held in lapsed]
 
-    def is_behind(self, other: Standing) -> bool:
+    def is_behind(self, other: ReplicaStatus) -> bool:
         """Returns whether an instance with this standing has newer state."""
         if other.configuration_version > self._configuration[0]:
             return True
@@ -311,7 +311,7 @@
 
     def export_snapshot(
         self, receiver_version: int = 0, since: int = 0
-    ) -> Snapshot:
+    ) -> StoreSnapshot:
         """Returns this registry's state for another instance.
 
         Args:
@@ -330,7 +330,7 @@
         ):
             since = 0
         gone = [name for name, at in self._removals.items() if at > since]
-        return Snapshot(
+        return StoreSnapshot(
             version,
             data if version > receiver_version else b"",
             self._servers_version,
@@ -345,7 +345,7 @@
             self._digest,
         )
 
-    def merge_snapshot(self, snapshot: Snapshot) -> list[ServerChange]:
+    def merge_snapshot(self, snapshot: StoreSnapshot) -> list[ServerChange]:
         """Merges another instance's snapshot where it is newer.
 
         Raises:
@@ -366,7 +366,7 @@
             changes += self.apply_full_read(snapshot.servers, version)
         return changes
 
-    def _merge_changes(self, snapshot: Snapshot) -> list[ServerChange]:
+    def _merge_changes(self, snapshot: StoreSnapshot) -> list[ServerChange]:
         """Applies changes since a version up to which all rows are known."""
         version = snapshot.servers_version
         own_version = self._servers_version
@@ -399,7 +399,9 @@
             self._entries[name].row.version <= version for name in self._lapsed
         )
 
-    def _apply_settled_list(self, snapshot: Snapshot) -> list[ServerChange]:
+    def _apply_settled_list(
+        self, snapshot: StoreSnapshot
+    ) -> list[ServerChange]:
         # An instance that is cut off from the store cannot tell a server that
         # left from one whose row lapsed, and would keep the former until it
         # reaches the store again. The sender has had the store throughout, so
--- a/src/jasminerelay/resumedanswers.py
+++ b/src/jasminerelay/resumedanswers.py
@@ -11,7 +11,7 @@
 from jasminerelay.modelrequests import ModelRequest
 from jasminerelay.resume import ResumePoint
 from jasminerelay.schema.manifest import Server
-from jasminerelay.schema.messages import Held, Release
+from jasminerelay.schema.messages import HeldPermit, PermitRelease
 
 
 class ResumedAnswer(Answer):
@@ -37,7 +37,7 @@
     async def _attempt_events(self) -> AsyncIterator[AnswerEvent]:
         point = self._resume_point
         cell = self._cell_name()
-        held = Held(
+        held = HeldPermit(
             uuid.uuid4().hex,
             cell,
             point.server,
@@ -73,7 +73,7 @@
             ) from exc
         finally:
             self._context.permit_client.release(
-                Release(
+                PermitRelease(
                     held.ask_id,
                     cell,
                     self._delivered_tokens - point.offset,
--- a/src/jasminerelay/schema/messages.py
+++ b/src/jasminerelay/schema/messages.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Notice:
+class ServerNotice:
     """
     State of a backend server, spread by gossip.
     """
@@ -52,12 +52,12 @@
     kind: str
     sender: Member
     members: list[Member]
-    notices: list[Notice]
+    notices: list[ServerNotice]
     manifest: ManifestPointer
 
 
 @dataclass(frozen=True)
-class Ask:
+class PermitRequest:
     """
     Requests a permit from the broker of a cell.
     """
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class HeldPermit:
     """
     A permit that an instance holds, reported to a new broker.
     """
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True)
-class Release:
+class PermitRelease:
     """
     Returns a permit, or cancels a request for one.
     """
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True)
-class Borrow:
+class BorrowRequest:
     """
     Requests tokens of an organisation's rate limit from its coordinator.
     """
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class Loan:
+class TokenLoan:
     """
     Tokens lent; fewer than requested means that the rate limit is reached.
     """
@@ -129,21 +129,21 @@
 
 
 @dataclass(frozen=True)
-class EntryFrame:
+class InstanceFrame:
     """
     A message from an instance to a broker.
     """
 
     instance: str
     incarnation: str
-    asks: list[Ask]
-    held: list[Held]
-    releases: list[Release]
-    borrows: list[Borrow]
+    asks: list[PermitRequest]
+    held: list[HeldPermit]
+    releases: list[PermitRelease]
+    borrows: list[BorrowRequest]
 
 
 @dataclass(frozen=True)
-class Grant:
+class PermitGrant:
     """
     A permit to send one request to a backend server.
     """
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True)
-class Refusal:
+class PermitRefusal:
     """
     The final answer to a permit request that is not granted.
     """
@@ -165,7 +165,7 @@
 
 
 @dataclass(frozen=True)
-class Revoke:
+class PermitRevocation:
     """
     Revokes a permit for a request of a higher rank.
     """
@@ -179,10 +179,10 @@
     A message from a broker to an instance.
     """
 
-    grants: list[Grant]
-    refusals: list[Refusal]
-    revokes: list[Revoke]
-    loans: list[Loan]
+    grants: list[PermitGrant]
+    refusals: list[PermitRefusal]
+    revokes: list[PermitRevocation]
+    loans: list[TokenLoan]
 
 
 @dataclass(frozen=True)
@@ -231,7 +231,7 @@
 
 
 @dataclass(frozen=True)
-class Snapshot:
+class StoreSnapshot:
     """
     An instance's copy of the platform's store.
     """
@@ -247,7 +247,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class ReplicaStatus:
     """
     Version and age of an instance's copy of the store.
     """
@@ -273,7 +273,7 @@
 
 
 @dataclass(frozen=True)
-class KindDemand:
+class RouteDemand:
     """
     Load from callers at one instance.
     """
@@ -322,7 +322,7 @@
 
 
 @dataclass(frozen=True)
-class PlaceAsk:
+class PlacementRequest:
     """
     Requests a placement from a cell's owner.
     """
@@ -344,7 +344,7 @@
 
 
 @dataclass(frozen=True)
-class RunWord:
+class InFlightReport:
     """
     An in-flight request at a server of a cell.
     """
@@ -357,7 +357,7 @@
 
 
 @dataclass(frozen=True)
-class EndWord:
+class RequestEndReport:
     """
     The end of a request at a server.
     """
@@ -370,7 +370,7 @@
 
 
 @dataclass(frozen=True)
-class TokenWord:
+class ServerObservation:
     """
     Recent measurements of a server by one instance.
     """
@@ -382,7 +382,7 @@
 
 
 @dataclass(frozen=True)
-class PlaceWord:
+class CellUpdate:
     """
     An instance's placement requests and in-flight requests at a cell, sent to its owner. In-flight requests that are not listed have ended.
     """
@@ -392,14 +392,14 @@
     service: str
     cell: int
     number: int
-    asks: list[PlaceAsk]
-    runs: list[RunWord]
-    ended: list[EndWord]
-    tokens: list[TokenWord]
+    asks: list[PlacementRequest]
+    runs: list[InFlightReport]
+    ended: list[RequestEndReport]
+    tokens: list[ServerObservation]
 
 
 @dataclass(frozen=True)
-class PlaceAnswer:
+class PlacementAnswer:
     """
     A cell owner's answer to a placement request.
     """
@@ -416,7 +416,7 @@
 
 
 @dataclass(frozen=True)
-class OwnerWord:
+class OwnerAnswers:
     """
     A cell owner's answers to one instance.
     """
@@ -424,7 +424,7 @@
     sender: str
     service: str
     cell: int
-    answers: list[PlaceAnswer]
+    answers: list[PlacementAnswer]
 
 
 @dataclass(frozen=True)
@@ -440,7 +440,7 @@
 
 
 @dataclass(frozen=True)
-class ServerEnds:
+class RequestCrashes:
     """
     Servers that have ended while running one request.
     """
@@ -452,17 +452,17 @@
 
 
 @dataclass(frozen=True)
-class CrashWord:
+class CrashReport:
     """
     Requests during which servers have ended, as recorded by one instance.
     """
 
     sender: str
-    requests: list[ServerEnds]
+    requests: list[RequestCrashes]
 
 
 @dataclass(frozen=True)
-class NamedLimit:
+class ServerLimit:
     """
     Rate limit of a server over all instances together.
     """
@@ -473,7 +473,7 @@
 
 
 @dataclass(frozen=True)
-class LimitAsk:
+class LimitGrantRequest:
     """
     Requests grants for requests that only rate-limited servers can take.
     """
@@ -495,14 +495,14 @@
 
 
 @dataclass(frozen=True)
-class LimitWord:
+class LimitMessage:
     """
     State of rate-limited servers, exchanged between instances.
     """
 
     sender: str
-    limits: list[NamedLimit]
-    asks: list[LimitAsk]
+    limits: list[ServerLimit]
+    asks: list[LimitGrantRequest]
     grants: list[LimitGrant]
 
 
@@ -518,7 +518,7 @@
 
 
 @dataclass(frozen=True)
-class DutyWord:
+class DutyMessage:
     """
     Exchanged between instances and the candidates for the duties.
     """
@@ -532,7 +532,7 @@
 
 
 @dataclass(frozen=True)
-class PeerWord:
+class PeerMessage:
     """
     A datagram between instances of a platform.
     """
@@ -540,7 +540,7 @@
     gossip: Gossip | None
     sender: str
     number: int
-    standing: Standing
+    standing: ReplicaStatus
     loads: LoadColumns
     demand: DemandColumns
     samples: list[EngineSample] = field(default_factory=list)
@@ -554,15 +554,15 @@
     """
 
     gossip: Gossip | None = None
-    entry_frame: EntryFrame | None = None
+    entry_frame: InstanceFrame | None = None
     broker_frame: BrokerFrame | None = None
     manifest_reply: ManifestReply | None = None
     cache_event: CacheEvent | None = None
     load_report: LoadReport | None = None
-    peer_word: PeerWord | None = None
-    snapshot: Snapshot | None = None
-    place_word: PlaceWord | None = None
-    owner_word: OwnerWord | None = None
-    crash_word: CrashWord | None = None
-    limit_word: LimitWord | None = None
-    duty_word: DutyWord | None = None
+    peer_word: PeerMessage | None = None
+    snapshot: StoreSnapshot | None = None
+    place_word: CellUpdate | None = None
+    owner_word: OwnerAnswers | None = None
+    crash_word: CrashReport | None = None
+    limit_word: LimitMessage | None = None
+    duty_word: DutyMessage | None = None
--- a/src/jasminerelay/serverlimits.py
+++ b/src/jasminerelay/serverlimits.py
@@ -10,7 +10,7 @@
 
 import dataclasses
 
-from jasminerelay.schema.messages import NamedLimit
+from jasminerelay.schema.messages import ServerLimit
 
 NO_LIMIT = -1.0
 MS_PER_S = 1e3
@@ -149,10 +149,10 @@
             self._rates[server] = rate
         return held is None or held.rate != rate
 
-    def to_messages(self, now: float) -> list[NamedLimit]:
+    def to_messages(self, now: float) -> list[ServerLimit]:
         """Returns all limits, including ended ones, as messages."""
         return [
-            NamedLimit(
+            ServerLimit(
                 server, held.rate, max(0, round(MS_PER_S * (now - held.at)))
             )
             for server, held in self._limits_by_server.items()
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -29,7 +29,11 @@
     Service,
     ServiceClass,
 )
-from jasminerelay.schema.messages import Ask, Refusal, Release
+from jasminerelay.schema.messages import (
+    PermitRefusal,
+    PermitRelease,
+    PermitRequest,
+)
 
 MAX_ATTEMPTS = 4
 IDEMPOTENCY_HEADER = "idempotency-key"
@@ -162,7 +166,7 @@
             except BaseException:
                 await self._close_claim(acquired, outcome)
                 raise
-            if isinstance(grant, Refusal):
+            if isinstance(grant, PermitRefusal):
                 await self._close_claim(acquired, outcome)
                 raise self._refusal_error(request, outcome, grant, started)
             server = _find_server(request.service, grant.server)
@@ -195,7 +199,7 @@
                 raise
             finally:
                 self._permits.release(
-                    Release(
+                    PermitRelease(
                         permit_request.ask_id,
                         permit_request.cell,
                         CALL_WORK,
@@ -295,7 +299,7 @@
         self,
         request: ServiceRequest,
         outcome: Outcome,
-        refusal: Refusal,
+        refusal: PermitRefusal,
         started: float,
     ) -> RelayError:
         if outcome.may_have_run:
@@ -317,12 +321,12 @@
 
     def _new_permit_request(
         self, request: ServiceRequest, avoid: list[str], started: float
-    ) -> Ask:
+    ) -> PermitRequest:
         cls = request.service_class
         organisation = request.organisation
         cell = self._permits.choose_cell(request.service, organisation.name, ())
         waited = time.monotonic() - started
-        return Ask(
+        return PermitRequest(
             uuid.uuid4().hex,
             cell.name,
             cls.rank,
--- a/tests/crashworld.py
+++ b/tests/crashworld.py
@@ -11,7 +11,7 @@
     ServiceShare,
 )
 from jasminerelay.crashwatch import CrashWatch
-from jasminerelay.schema.messages import ServerEnds
+from jasminerelay.schema.messages import RequestCrashes
 from tests.instanceworld import InstanceWorld, Node, Quiet
 
 SERVICE = "engines"
@@ -44,7 +44,7 @@
         super().__init__(seed, instances, faults=faults)
         self._servers: dict[str, BackendServer] = {}
         self._running: dict[str, list[tuple[Node, Call, int]]] = {}
-        self._rows: dict[str, ServerEnds] = {}
+        self._rows: dict[str, RequestCrashes] = {}
         self.crash_times: list[float] = []
         self.late: list[float] = []
         self.innocents: set[str] = set()
@@ -62,12 +62,12 @@
         await anyio.sleep(0.001)
         return address not in self._running
 
-    async def save(self, message: ServerEnds) -> None:
+    async def save(self, message: RequestCrashes) -> None:
         """Stores a row."""
         await anyio.sleep(0.005)
         self._rows[message.fingerprint] = message
 
-    async def read(self) -> list[ServerEnds]:
+    async def read(self) -> list[RequestCrashes]:
         """Returns the stored rows."""
         await anyio.sleep(0.005)
         return list(self._rows.values())
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,7 +5,7 @@
 from jasminerelay.fairqueue import QueuedRequest
 from jasminerelay.manifest import Cell
 from jasminerelay.schema.manifest import Server
-from jasminerelay.schema.messages import Release
+from jasminerelay.schema.messages import PermitRelease
 
 
 def server(name: str, slots: int = 2, zone: str = "a", **fields: Any) -> Server:
@@ -37,7 +37,7 @@
     return QueuedRequest(ask_id, **{**values, **fields})
 
 
-def release(ask_id: str, **fields: Any) -> Release:
+def release(ask_id: str, **fields: Any) -> PermitRelease:
     """Returns the release of a permit."""
     values = {"tokens": 10.0, "failed": False, "step_s": 0.0}
-    return Release(ask_id, "pool/0", **{**values, **fields})
+    return PermitRelease(ask_id, "pool/0", **{**values, **fields})
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -277,8 +277,8 @@
     Safeguard(
         "a late grant goes back to its cell",
         "permitclient",
-        "gone = Release(grant.ask_id, grant.cell, 0.0, False, 0.0)",
-        'gone = Release(grant.ask_id, "", 0.0, False, 0.0)',
+        "gone = PermitRelease(grant.ask_id, grant.cell, 0.0, False, 0.0)",
+        'gone = PermitRelease(grant.ask_id, "", 0.0, False, 0.0)',
         "test_permits.PermitsTest.test_unresponsive_broker_and_late_grant",
     ),
     Safeguard(
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -12,11 +12,11 @@
 
 from jasminerelay.broker import REFUSED_FULL, REFUSED_LATE, Broker
 from jasminerelay.schema.messages import (
-    Grant,
-    Held,
+    HeldPermit,
     LoadReport,
-    Refusal,
-    Revoke,
+    PermitGrant,
+    PermitRefusal,
+    PermitRevocation,
 )
 from tests.fakes import cell, release, server, waiting
 
@@ -26,7 +26,7 @@
     return [
         item.message.ask_id
         for item in decisions
-        if isinstance(item.message, Grant)
+        if isinstance(item.message, PermitGrant)
     ]
 
 
@@ -35,7 +35,7 @@
     return {
         item.message.ask_id: item.message.reason
         for item in decisions
-        if isinstance(item.message, Refusal)
+        if isinstance(item.message, PermitRefusal)
     }
 
 
@@ -44,7 +44,7 @@
     return [
         item.message.ask_id
         for item in decisions
-        if isinstance(item.message, Revoke)
+        if isinstance(item.message, PermitRevocation)
     ]
 
 
@@ -221,7 +221,7 @@
 
     def test_held_permits_take_slots(self) -> None:
         broker = Broker(cell(server("s", slots=2)))
-        broker.hold(Held("theirs", "pool/0", "s", 1, False), "other", 0.0)
+        broker.hold(HeldPermit("theirs", "pool/0", "s", 1, False), "other", 0.0)
         for name in ("a", "b"):
             broker.enqueue(waiting(name), 0.0)
         self.assertEqual(granted(broker.step(0.0)), ["a"])
@@ -335,11 +335,11 @@
     def step(self) -> None:
         for item in self.broker.step(self.now):
             message = item.message
-            if isinstance(message, Grant):
+            if isinstance(message, PermitGrant):
                 assert message.ask_id not in self.held
                 self.queued.pop(message.ask_id)
                 self.held[message.ask_id] = message.server
-            elif isinstance(message, Refusal):
+            elif isinstance(message, PermitRefusal):
                 gone = self.queued.pop(message.ask_id)
                 assert message.retry_s > 0
                 if message.reason == REFUSED_FULL and gone.protected:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -35,7 +35,7 @@
 from jasminerelay.placing import KNOWN_PREFILL_LIMIT_S
 from jasminerelay.platform import documents
 from jasminerelay.registry import Registry
-from jasminerelay.schema.messages import Member, PlaceWord, ServerRow
+from jasminerelay.schema.messages import CellUpdate, Member, ServerRow
 from jasminerelay.schema.settings import Statsd
 from tests.test_placing import call
 
@@ -312,7 +312,7 @@
             ask = placement_request(
                 1, next(prompts(1)), frozenset(), False, 0.0
             )
-            message = PlaceWord(
+            message = CellUpdate(
                 "n01", "n01:1", service, cell, 1, [ask], [], [], []
             )
             node.owned.handle_message(message)
@@ -323,7 +323,7 @@
         # Corrupt datagrams and those of other versions are rejected.
         ask = placement_request(1, next(prompts(1)), frozenset(), False, 0.0)
         uneven = dataclasses.replace(ask, part_tokens=[1, 2, 3])
-        message = PlaceWord("a", "a:1", SERVICE, 0, 1, [uneven], [], [], [])
+        message = CellUpdate("a", "a:1", SERVICE, 0, 1, [uneven], [], [], [])
         for data in (
             peerwords.PLACE_MARK,
             peerwords.OWNER_MARK + b"\x80",
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -21,10 +21,10 @@
 from jasminerelay.prefix import CacheView
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
-    KindDemand,
-    PeerWord,
+    PeerMessage,
+    ReplicaStatus,
+    RouteDemand,
     ServerLoad,
-    Standing,
 )
 from jasminerelay.tokentimes import MIN_TIMES
 from tests.test_cells import server_rows
@@ -142,8 +142,8 @@
         """Returns instances that give six servers to long prompts."""
         instances = [dispatcher(servers) for _ in range(count)]
         demand = [
-            KindDemand(f"{SERVICE}/long", 4.0, 6600.0, 2),
-            KindDemand(f"{SERVICE}/short", 4.0, 600.0, 0),
+            RouteDemand(f"{SERVICE}/long", 4.0, 6600.0, 2),
+            RouteDemand(f"{SERVICE}/short", 4.0, 600.0, 0),
         ]
         now = time.monotonic()
         for instance in instances:
@@ -222,9 +222,9 @@
     """Overflow between kinds that need a server and a half."""
 
     KINDS = (
-        KindDemand(f"{SERVICE}/long", 4.0, 6600.0, 2),
-        KindDemand(f"{SERVICE}/check", 2.0, 1800.0, 1),
-        KindDemand(f"{SERVICE}/chat", 1.0, 600.0, 0),
+        RouteDemand(f"{SERVICE}/long", 4.0, 6600.0, 2),
+        RouteDemand(f"{SERVICE}/check", 2.0, 1800.0, 1),
+        RouteDemand(f"{SERVICE}/chat", 1.0, 600.0, 0),
     )
 
     def setUp(self) -> None:
@@ -312,13 +312,13 @@
 class PeerMessageTest(unittest.TestCase):
     """Encoding of the datagrams between instances."""
 
-    def word(self, loads: list[ServerLoad]) -> PeerWord:
-        demand = [KindDemand("pool/long", 0.5, 900.0, 2)]
-        return PeerWord(
+    def word(self, loads: list[ServerLoad]) -> PeerMessage:
+        demand = [RouteDemand("pool/long", 0.5, 900.0, 2)]
+        return PeerMessage(
             None,
             "edge-1/0123456789ab",
             7,
-            Standing(1, 2, 3),
+            ReplicaStatus(1, 2, 3),
             peerwords.load_columns(loads),
             peerwords.demand_columns(demand),
         )
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -8,17 +8,17 @@
     ServerSplit,
     TotalDemand,
 )
-from jasminerelay.schema.messages import KindDemand
+from jasminerelay.schema.messages import RouteDemand
 
 SERVERS = tuple(f"s{number}" for number in range(6))
 
 
-def kinds(long: float, mid: float, short: float) -> list[KindDemand]:
+def kinds(long: float, mid: float, short: float) -> list[RouteDemand]:
     """Returns demand of three kinds; longer prompts have a lower rank."""
     return [
-        KindDemand("long", long, 6600.0, 2),
-        KindDemand("mid", mid, 1800.0, 1),
-        KindDemand("short", short, 630.0, 0),
+        RouteDemand("long", long, 6600.0, 2),
+        RouteDemand("mid", mid, 1800.0, 1),
+        RouteDemand("short", short, 630.0, 0),
     ]
 
 
@@ -107,7 +107,7 @@
 
     def test_sums_instances_and_drops_old_reports(self) -> None:
         view = TotalDemand()
-        report = [KindDemand("pool/long", 1.0, 1000.0, 2)]
+        report = [RouteDemand("pool/long", 1.0, 1000.0, 2)]
         view.update("a", report, 0.0)
         view.update("b", report, 2.5)
         self.assertEqual(view.total("pool", 2.6)[0].work, 2.0)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -15,7 +15,7 @@
     PeerServer,
     _BrokerLink,
 )
-from jasminerelay.schema.messages import BrokerFrame, EntryFrame
+from jasminerelay.schema.messages import BrokerFrame, InstanceFrame
 
 
 class ClientWriteTest(unittest.IsolatedAsyncioTestCase):
@@ -43,7 +43,7 @@
                 ),
             )
             frames, source = anyio.create_memory_object_stream(10)
-            frames.send_nowait(EntryFrame("a", "1", [], [], [], []))
+            frames.send_nowait(InstanceFrame("a", "1", [], [], [], []))
             await links._write(
                 call, _BrokerLink(frames, source, time.monotonic())
             )
@@ -108,7 +108,7 @@
 
     async def requests(self, count: int):
         for _ in range(count):
-            yield EntryFrame("client", "1", [], [], [], [])
+            yield InstanceFrame("client", "1", [], [], [], [])
             await anyio.sleep(0)
         await anyio.sleep_forever()
 
@@ -127,7 +127,7 @@
     def disconnect(self, entry: str, send) -> None:
         self.gone.append(entry)
 
-    def take(self, frame: EntryFrame) -> None:
+    def take(self, frame: InstanceFrame) -> None:
         self.frames_taken += 1
         self._send(BrokerFrame([], [], [], []))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 
 from jasminerelay import peerlink
 from jasminerelay.membership import ALIVE, FAILED, LEAVING, Membership, Send
-from jasminerelay.schema.messages import ManifestPointer, Member, Notice
+from jasminerelay.schema.messages import ManifestPointer, Member, ServerNotice
 
 INTERVAL_S = 0.5
 SUSPECT_S = 2.0
@@ -192,12 +192,12 @@
     def test_notice_reaches_all(self) -> None:
         network = Network(16)
         network.run(2.0)
-        network.views["i0"].record_notice(Notice("server", True, 5))
+        network.views["i0"].record_notice(ServerNotice("server", True, 5))
         network.deliver("i0", network.views["i0"].push())
         network.run(3.0)
         for view in network.views.values():
             self.assertEqual(view.leaving_servers(), {"server"})
-        network.views["i1"].record_notice(Notice("server", False, 6))
+        network.views["i1"].record_notice(ServerNotice("server", False, 6))
         network.run(6.0)
         for view in network.views.values():
             self.assertEqual(view.leaving_servers(), set())
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -11,7 +11,7 @@
 from jasminerelay.adoptedmanifest import AdoptedManifest
 from jasminerelay.errors import RelayError
 from jasminerelay.resume import ResumePoint, Signer
-from jasminerelay.schema.messages import EntryFrame, Gossip
+from jasminerelay.schema.messages import Gossip, InstanceFrame
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 FUZZ = settings(max_examples=200, derandomize=True, deadline=None)
@@ -220,7 +220,7 @@
     @FUZZ
     @given(strategies.binary())
     def test_random_bytes(self, data: bytes) -> None:
-        for kind in (Gossip, EntryFrame):
+        for kind in (Gossip, InstanceFrame):
             with self.assertRaises(msgspec.MsgspecError):
                 msgspec.msgpack.decode(data, type=kind)
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -12,12 +12,12 @@
 from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
 from jasminerelay.schema.messages import (
-    Ask,
-    EntryFrame,
-    Grant,
-    Held,
+    HeldPermit,
+    InstanceFrame,
     Member,
-    Refusal,
+    PermitGrant,
+    PermitRefusal,
+    PermitRequest,
 )
 from jasminerelay.schema.settings import Statsd
 from tests.fakes import release
@@ -91,7 +91,7 @@
             if name not in self.down
         ]
 
-    def send(self, source: str, peer: str, frame: EntryFrame) -> None:
+    def send(self, source: str, peer: str, frame: InstanceFrame) -> None:
         del source
         self.hosts[peer].on_frame(frame)
 
@@ -105,9 +105,9 @@
         return self.hosts[name].cells.get("pool/0", (0, 0))[1]
 
 
-def permit_request(ask_id: str) -> Ask:
+def permit_request(ask_id: str) -> PermitRequest:
     """Returns a permit request."""
-    return Ask(
+    return PermitRequest(
         ask_id,
         "pool/0",
         1,
@@ -147,14 +147,16 @@
         # pending requests. The dictionary of permits then changed during
         # iteration and the instance crashed (randomised run, seed 5).
         for number in range(3):
-            self.desk.take_over(Held(str(number), "pool/0", "s", 1, False))
+            self.desk.take_over(
+                HeldPermit(str(number), "pool/0", "s", 1, False)
+            )
         self.instances.down.add(self.instances.broker_name)
         sent = self.desk._send
 
-        def answering(peer: str, frame: EntryFrame) -> None:
+        def answering(peer: str, frame: InstanceFrame) -> None:
             sent(peer, frame)
             if frame.held:
-                granted = Held(f"late-{peer}", "pool/0", "s", 1, False)
+                granted = HeldPermit(f"late-{peer}", "pool/0", "s", 1, False)
                 self.desk._held_permits.setdefault(
                     granted.ask_id,
                     dataclasses.replace(
@@ -168,7 +170,7 @@
 
     async def test_granted_and_released(self) -> None:
         grant = await self.desk.acquire(permit_request("1"))
-        self.assertEqual(grant, Grant("1", "pool/0", "s"))
+        self.assertEqual(grant, PermitGrant("1", "pool/0", "s"))
         self.assertEqual(self.instances.held(self.instances.broker_name), 1)
         self.desk.release(release("1"))
         self.assertEqual(self.instances.held(self.instances.broker_name), 0)
@@ -218,12 +220,12 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self.desk.run)
             grant = await self.desk.acquire(permit_request("1"))
-            self.assertIsInstance(grant, Grant)
+            self.assertIsInstance(grant, PermitGrant)
             group.cancel_scope.cancel()
         self.desk.release(release("1"))
         self.instances.silent.clear()
         self.instances.hosts[broker_name].on_frame(
-            EntryFrame(self.entry, "1", [permit_request("1")], [], [], [])
+            InstanceFrame(self.entry, "1", [permit_request("1")], [], [], [])
         )
         self.assertEqual(self.instances.held(broker_name), 0)
 
@@ -232,7 +234,7 @@
         # The request must be refused; otherwise it is requested for ever.
         for ask_id in ("1", "2"):
             await self.desk.acquire(permit_request(ask_id))
-        results: list[Refusal] = []
+        results: list[PermitRefusal] = []
 
         async def wait() -> None:
             results.append(await self.desk.acquire(permit_request("3")))
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -7,7 +7,7 @@
 
 from jasminerelay import cells, peerwords, placementclient
 from jasminerelay.placementqueue import Reservation
-from jasminerelay.schema.messages import OwnerWord
+from jasminerelay.schema.messages import OwnerAnswers
 from tests.test_cells import SERVICE, Node, Site, prompts
 
 DELIVERY_WAIT_S = 0.2
@@ -24,7 +24,7 @@
     def setUp(self) -> None:
         self.site = Site(30, servers=16)
         self.node = self.site.nodes["n00"]
-        self.answers_sent: list[tuple[Node, OwnerWord]] = []
+        self.answers_sent: list[tuple[Node, OwnerAnswers]] = []
         for node in self.site.nodes.values():
             node.owned.answer = lambda _, message, node=node: (
                 self.answers_sent.append((node, message))
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -12,10 +12,10 @@
 from jasminerelay import limitwatch, rendezvous, serverlimits
 from jasminerelay.platform.headers import PlatformDialect
 from jasminerelay.schema.messages import (
-    LimitAsk,
-    LimitWord,
+    LimitGrantRequest,
+    LimitMessage,
     Member,
-    NamedLimit,
+    ServerLimit,
 )
 from jasminerelay.serverlimits import NO_LIMIT, Allowance, GrantIssuer
 from tests import virtualtime
@@ -149,7 +149,9 @@
             now = step * limitwatch.TICK_S
             watch.update_instances(members, len(names), now)
             watch.tick(now)
-            message = LimitWord(requester, [], [LimitAsk("s", 0, 3)], [])
+            message = LimitMessage(
+                requester, [], [LimitGrantRequest("s", 0, 3)], []
+            )
             with unittest.mock.patch.object(
                 limitwatch.time, "monotonic", lambda now=now: now
             ):
@@ -195,7 +197,7 @@
         watch = limitwatch.LimitWatch(
             "n", servers.__contains__, Quiet(), Quiet(), random.Random(1)
         )
-        message = LimitWord("other", [NamedLimit("s", 2.0, 10)], [], [])
+        message = LimitMessage("other", [ServerLimit("s", 2.0, 10)], [], [])
         watch.handle_message(message)
         self.assertTrue(watch.allowance)
         servers.clear()
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -13,7 +13,7 @@
 from jasminerelay.platform import documents, headers, storeclient
 from jasminerelay.platform.documents import DocumentError
 from jasminerelay.registry import RETURN_GRACE_S, Registry, ServerChange
-from jasminerelay.schema.messages import ServerLoad, ServerRow, Snapshot
+from jasminerelay.schema.messages import ServerLoad, ServerRow, StoreSnapshot
 from jasminerelay.schema.settings import Statsd
 from jasminerelay.storefollowing import RegistryFeed, TablePage
 from tests.test_dispatcher import dispatcher
@@ -343,7 +343,7 @@
     def test_snapshot_with_rows_that_cannot_be_read(self) -> None:
         known = registry()
         bad = ServerRow("b", 2, b"nonsense")
-        known.merge_snapshot(Snapshot(0, b"", 2, [row(1), bad]))
+        known.merge_snapshot(StoreSnapshot(0, b"", 2, [row(1), bad]))
         self.assertEqual(len(known.servers_of(POOL)), 1)
 
 
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -12,7 +12,7 @@
     decompressed,
 )
 from jasminerelay.registry import Registry
-from jasminerelay.schema.messages import ServerRow, Snapshot
+from jasminerelay.schema.messages import ServerRow, StoreSnapshot
 from tests.test_following import decode
 
 CONFIGURATION = b"7" + b" " * 40_000
@@ -56,7 +56,9 @@
             lambda data: types.SimpleNamespace(version=1), decode
         )
         receiver.apply_configuration(7, CONFIGURATION)
-        receiver.merge_snapshot(msgspec.msgpack.decode(body, type=Snapshot))
+        receiver.merge_snapshot(
+            msgspec.msgpack.decode(body, type=StoreSnapshot)
+        )
         self.assertEqual(len(receiver.servers()), SERVERS)
         self.assertEqual(receiver.standing.configuration_version, 7)
 
@@ -70,7 +72,9 @@
             receiver = Registry(
                 lambda data: types.SimpleNamespace(version=1), decode
             )
-            snapshot = decompressed(msgspec.msgpack.decode(body, type=Snapshot))
+            snapshot = decompressed(
+                msgspec.msgpack.decode(body, type=StoreSnapshot)
+            )
             self.assertEqual(snapshot.configuration, CONFIGURATION)
             receiver.merge_snapshot(snapshot)
             self.assertEqual(receiver.standing.configuration_version, 7, query)
@@ -88,7 +92,9 @@
         sender.apply_configuration(7, data)
         body = await fetch(sender, "")
         self.assertLess(len(body), len(data) / 4)
-        snapshot = decompressed(msgspec.msgpack.decode(body, type=Snapshot))
+        snapshot = decompressed(
+            msgspec.msgpack.decode(body, type=StoreSnapshot)
+        )
         self.assertEqual(snapshot.configuration, data)
 
 
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -30,6 +30,7 @@
                 "--target-python-version",
                 "3.11",
                 "--use-schema-description",
+                "--use-title-as-name",
                 "--use-standard-collections",
                 "--use-union-operator",
                 "--strict-nullable",
