--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -32,7 +32,7 @@
 """Retry-After of refusals that are unrelated to load."""
 
 
-class Delivery:
+class RequestForwarder:
     """Forwards one request until it has its final answer."""
 
     def __init__(self, kit: ForwardingContext, call: Call, sink: ResponseSink):
@@ -316,19 +316,19 @@
 
 
 @functools.singledispatch
-async def next_step(outcome: object, delivery: Delivery) -> bool:
+async def next_step(outcome: object, delivery: RequestForwarder) -> bool:
     """Returns whether to try another server after an outcome."""
     raise NotImplementedError(type(outcome))
 
 
 @next_step.register
-async def _(outcome: Delivered, delivery: Delivery) -> bool:
+async def _(outcome: Delivered, delivery: RequestForwarder) -> bool:
     delivery.record_delivered(outcome)
     return False
 
 
 @next_step.register
-async def _(outcome: NotSent, delivery: Delivery) -> bool:
+async def _(outcome: NotSent, delivery: RequestForwarder) -> bool:
     if delivery.retry_unsent(outcome.why):
         return True
     await delivery.give_up()
@@ -336,7 +336,7 @@
 
 
 @next_step.register
-async def _(outcome: NotRun, delivery: Delivery) -> bool:
+async def _(outcome: NotRun, delivery: RequestForwarder) -> bool:
     if delivery.retry_not_run(outcome.why):
         return True
     await delivery.give_up()
@@ -344,7 +344,7 @@
 
 
 @next_step.register
-async def _(outcome: Failed, delivery: Delivery) -> bool:
+async def _(outcome: Failed, delivery: RequestForwarder) -> bool:
     delivery.note(f"status {outcome.head.status}")
     delivery.keep_answer(outcome)
     if delivery.retry_after_run():
@@ -354,7 +354,7 @@
 
 
 @next_step.register
-async def _(outcome: Unknown, delivery: Delivery) -> bool:
+async def _(outcome: Unknown, delivery: RequestForwarder) -> bool:
     delivery.note(outcome.why)
     if delivery.retry_after_run():
         return True
@@ -363,7 +363,7 @@
 
 
 @next_step.register
-async def _(outcome: Interrupted, delivery: Delivery) -> bool:
+async def _(outcome: Interrupted, delivery: RequestForwarder) -> bool:
     if delivery.moved:
         delivery.record_move()
         return True
--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -19,7 +19,7 @@
     UnknownKeyError,
 )
 from jasminerelay.eventlog import EventLog
-from jasminerelay.forwarding import Delivery
+from jasminerelay.forwarding import RequestForwarder
 from jasminerelay.platform import headers
 
 RETRY_S = 0.5
@@ -94,7 +94,7 @@
         call = self._call(scope, body, arrived)
         if not self._context.accepts(call.answer_deadline - arrived):
             raise NotReadyError("this instance is shutting down", retry_s=0.05)
-        delivery = Delivery(self._context.forwarding, call, sink)
+        delivery = RequestForwarder(self._context.forwarding, call, sink)
         async with anyio.create_task_group() as group:
             group.start_soon(
                 _cancel_on_disconnect, receive, sink, group.cancel_scope
