--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -13,7 +13,6 @@
 from jasminerelay.channels import AnswerTimeoutError, Channel, ChannelPool
 from jasminerelay.crashwatch import CrashWatch
 from jasminerelay.dispatcher import Dispatcher
-from jasminerelay.evacuation import MIN_REMAINING_S, Copy, Evacuator
 from jasminerelay.eventlog import EventLog
 from jasminerelay.exchange import (
     Delivered,
@@ -35,6 +34,7 @@
 )
 from jasminerelay.limitwatch import LimitWatch
 from jasminerelay.metrics import Counters
+from jasminerelay.migration import MIN_REMAINING_S, KvCacheCopy, StreamMigrator
 from jasminerelay.placementqueue import RequestPlacer, Reservation
 from jasminerelay.sharedbudget import SharedRetryBudget
 from jasminerelay.telemetry import Telemetry
@@ -91,7 +91,7 @@
     queue: RequestPlacer
     channels: ChannelPool
     dialect: Dialect
-    stream_migrator: Evacuator
+    stream_migrator: StreamMigrator
     budget: SharedRetryBudget
     crashes: CrashWatch
     limits: LimitWatch
@@ -131,7 +131,7 @@
     owners: list[str] = dataclasses.field(default_factory=list)
     ran: int = 0
     maybe_ran: bool = False
-    copy: Copy | None = None
+    copy: KvCacheCopy | None = None
     moves: int = 0
     output: int = 0
 
--- a/src/jasminerelay/exchange.py
+++ b/src/jasminerelay/exchange.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from jasminerelay.catalog import BackendServer, Call
-from jasminerelay.evacuation import Copy
+from jasminerelay.migration import KvCacheCopy
 
 
 @dataclasses.dataclass(frozen=True)
@@ -27,7 +27,7 @@
     server: BackendServer
     remaining_s: float
     after: str = ""
-    copy: Copy | None = None
+    copy: KvCacheCopy | None = None
     source: BackendServer | None = None
 
 
--- a/src/jasminerelay/evacuation.py
+++ b/src/jasminerelay/migration.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Copy:
+class KvCacheCopy:
     """A copy of a run's KV cache from which the run can continue.
 
     Attributes:
@@ -62,11 +62,11 @@
 
     def moved(
         self, reply: HttpResponse, source: BackendServer, target: BackendServer
-    ) -> Copy | None:
+    ) -> KvCacheCopy | None:
         """Reads the reply; None if the run continues on its server."""
 
 
-class Evacuator:
+class StreamMigrator:
     """Tracks streams by server and orders their moves."""
 
     def __init__(
@@ -106,7 +106,7 @@
 
     async def move(
         self, call: Call, source: BackendServer, target: BackendServer
-    ) -> Copy | None:
+    ) -> KvCacheCopy | None:
         """Stops a run and copies its KV cache; None if the run continues."""
         limiter = self._limiters.setdefault(
             source.id, anyio.CapacityLimiter(MAX_CONCURRENT_MOVES)
--- a/src/jasminerelay/platform/headers.py
+++ b/src/jasminerelay/platform/headers.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from jasminerelay.catalog import BackendServer, Call, Prompt, PromptPart
-from jasminerelay.evacuation import MOVE_TIMEOUT_S, Copy
 from jasminerelay.exchange import OutgoingRequest, ResponseHead
 from jasminerelay.httpclient import HttpRequest, HttpResponse
+from jasminerelay.migration import MOVE_TIMEOUT_S, KvCacheCopy
 
 MS = 1000.0
 HIGH_URGENCY = b"0"
@@ -194,7 +194,7 @@
 
     def moved(
         self, reply: HttpResponse, source: BackendServer, target: BackendServer
-    ) -> Copy | None:
+    ) -> KvCacheCopy | None:
         """Parses the response to a move; None if the request was not moved."""
         if reply.status not in (200, 503):
             return None
@@ -207,7 +207,7 @@
         # 503 with a handle: the request has stopped, but the target server
         # has no capacity, so the KV cache is still at the source.
         at = target if reply.status == 200 else source
-        return Copy(source.address, moved.handle, at)
+        return KvCacheCopy(source.address, moved.handle, at)
 
 
 class _MoveOrder(msgspec.Struct):
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -20,7 +20,6 @@
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.duties import Duties
 from jasminerelay.errors import StoreError
-from jasminerelay.evacuation import Evacuator
 from jasminerelay.eventlog import EventLog, EventLogHandler
 from jasminerelay.followerroles import FollowerRole
 from jasminerelay.freshness import Freshness, now_s
@@ -29,6 +28,7 @@
 from jasminerelay.limitwatch import LimitWatch
 from jasminerelay.membership import LEAVING
 from jasminerelay.metrics import Counters
+from jasminerelay.migration import StreamMigrator
 from jasminerelay.ownedcells import OwnedCells
 from jasminerelay.peerlink import PeerLink, SnapshotApp
 from jasminerelay.placementclient import PlacementClient
@@ -361,7 +361,9 @@
     def _build_ports(self) -> None:
         boot = self.boot
         dialect = PlatformDialect()
-        evacuator = Evacuator(self.client, dialect, self.counters, self.log)
+        evacuator = StreamMigrator(
+            self.client, dialect, self.counters, self.log
+        )
         self._registry_feed.on_leaving = evacuator.leaving
         self._registry_feed.on_removed = self._on_server_removed
         self._registry_feed.on_changed = self._peers.notify_dependents
