--- a/bench/platformcost.py
+++ b/bench/platformcost.py
@@ -14,7 +14,7 @@
 import msgspec
 import tabulate
 
-from jasminerelay import peerwords, placing
+from jasminerelay import peermessages, placing
 from jasminerelay.catalog import BackendServer, Engine
 from jasminerelay.enginemodel import EngineSpeeds
 from jasminerelay.groups import ServerSplit, TotalDemand
@@ -46,8 +46,8 @@
         "edge-1/0123456789ab",
         77,
         ReplicaStatus(1, 2, 3),
-        peerwords.load_columns(loads),
-        peerwords.demand_columns(demand),
+        peermessages.load_columns(loads),
+        peermessages.demand_columns(demand),
     )
 
 
@@ -64,16 +64,16 @@
 
 def receive_message(servers: int) -> Callable[[], object]:
     """Returns an operation that handles one message of another instance."""
-    data = peerwords.encode(make_message(servers))
+    data = peermessages.encode(make_message(servers))
     workload = Workload()
     view = TotalDemand()
     sequence_numbers = iter(range(1, 1 << 30))
 
     def part() -> None:
-        message = peerwords.decode(data)
-        loads = peerwords.load_rows(message.loads)
+        message = peermessages.decode(data)
+        loads = peermessages.load_rows(message.loads)
         workload.apply_report("edge-1", next(sequence_numbers), loads, 1.0)
-        view.update("edge-1", peerwords.demand_rows(message.demand), 1.0)
+        view.update("edge-1", peermessages.demand_rows(message.demand), 1.0)
 
     return part
 
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from jasminerelay import peerwords, rendezvous
+from jasminerelay import peermessages, rendezvous
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.errors import StoreError
@@ -206,7 +206,7 @@
             message.clock_ms / MS_PER_S - self.true_s()
         )
         self._ledger.merge(message.sender, message.usage)
-        demand = peerwords.demand_rows(message.demand)
+        demand = peermessages.demand_rows(message.demand)
         if demand:
             # The holder's heartbeats have none.
             self._demand.update(message.sender, demand, time.monotonic())
@@ -288,7 +288,7 @@
             self.holds,
             round(self.true_s() * MS_PER_S),
             list(usage),
-            peerwords.demand_columns(demand),
+            peermessages.demand_columns(demand),
             round(skew_s * MS_PER_S),
         )
 
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -18,7 +18,7 @@
 import anyio
 import msgspec
 
-from jasminerelay import peerwords
+from jasminerelay import peermessages
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.eventlog import EventLog
 from jasminerelay.followerroles import FollowerRole
@@ -189,19 +189,19 @@
         self, member: Member, message: CrashReport | LimitMessage | DutyMessage
     ) -> None:
         """Sends a message to another instance."""
-        self._send_to(member.peers, peerwords.encode(message))
+        self._send_to(member.peers, peermessages.encode(message))
 
     def _send_to_owner(self, owner: Member, message: CellUpdate) -> None:
         if owner.instance == self.membership.own_member.instance:
             self._owned.handle_message(message)
         else:
-            self._send_to(owner.peers, peerwords.encode(message))
+            self._send_to(owner.peers, peermessages.encode(message))
 
     def _send_answer(self, address: str, message: OwnerAnswers) -> None:
         if address == self.membership.own_member.peers:
             self._asking.handle_message(message)
         else:
-            self._send_to(address, peerwords.encode(message))
+            self._send_to(address, peermessages.encode(message))
 
     @property
     def _uses_owners(self) -> bool:
@@ -271,7 +271,7 @@
     def _send_status(self, members: list[Member]) -> None:
         if not members:
             return
-        data = peerwords.encode(self._peer_message(None))
+        data = peermessages.encode(self._peer_message(None))
         for member in members:
             self._send_to(member.peers, data)
 
@@ -295,13 +295,13 @@
             self._peer_message(None),
             samples=self._dispatcher.engine_models.take_unsent_samples(),
         )
-        data = peerwords.encode(message)
+        data = peermessages.encode(message)
         for member in chosen:
             self._send_to(member.peers, data)
 
     def _send_all(self, sends: list[Send]) -> None:
         for send in sends:
-            data = peerwords.encode(self._peer_message(send.gossip))
+            data = peermessages.encode(self._peer_message(send.gossip))
             self._send_to(send.address, data)
 
     def _peer_message(self, gossip) -> PeerMessage:
@@ -319,8 +319,8 @@
             self.membership.own_member.instance,
             self._number,
             self._own_status(),
-            peerwords.load_columns(loads),
-            peerwords.demand_columns(demand),
+            peermessages.load_columns(loads),
+            peermessages.demand_columns(demand),
             queues=queues,
         )
 
@@ -355,7 +355,7 @@
                 self._log.info("peer_error", why=repr(exc))
                 continue
             try:
-                message = peerwords.decode(data)
+                message = peermessages.decode(data)
             except ValueError:
                 self._counters.incr("peer.unreadable")
                 continue
@@ -396,11 +396,11 @@
         self.peer_status.record_report(
             message.sender, message.standing, now, now_s()
         )
-        loads = peerwords.load_rows(message.loads)
+        loads = peermessages.load_rows(message.loads)
         self._dispatcher.apply_load_report(
             message.sender, message.number, loads, now
         )
-        demand = peerwords.demand_rows(message.demand)
+        demand = peermessages.demand_rows(message.demand)
         self._dispatcher.demand.update(message.sender, demand, now)
         self._dispatcher.engine_models.add_peer_samples(message.samples, now)
         if self._owned is not None:
--- a/src/jasminerelay/peerwords.py
+++ b/src/jasminerelay/peermessages.py
@@ -24,11 +24,11 @@
     ServerLoad,
 )
 
-PLACE_MARK = b"\x01"
-OWNER_MARK = b"\x02"
-CRASH_MARK = b"\x03"
-LIMIT_MARK = b"\x04"
-DUTY_MARK = b"\x05"
+PLACE_TAG = b"\x01"
+OWNER_TAG = b"\x02"
+CRASH_TAG = b"\x03"
+LIMIT_TAG = b"\x04"
+DUTY_TAG = b"\x05"
 """First bytes that distinguish the kinds of datagrams. The periodic message to
 other instances has none; it starts with the first byte of a map."""
 
@@ -58,27 +58,27 @@
 
 @encode.register
 def _(message: CellUpdate) -> bytes:
-    return PLACE_MARK + _encode(message)
+    return PLACE_TAG + _encode(message)
 
 
 @encode.register
 def _(message: OwnerAnswers) -> bytes:
-    return OWNER_MARK + _encode(message)
+    return OWNER_TAG + _encode(message)
 
 
 @encode.register
 def _(message: CrashReport) -> bytes:
-    return CRASH_MARK + _encode(message)
+    return CRASH_TAG + _encode(message)
 
 
 @encode.register
 def _(message: LimitMessage) -> bytes:
-    return LIMIT_MARK + _encode(message)
+    return LIMIT_TAG + _encode(message)
 
 
 @encode.register
 def _(message: DutyMessage) -> bytes:
-    return DUTY_MARK + _encode(message)
+    return DUTY_TAG + _encode(message)
 
 
 def decode(data: bytes) -> Message:
@@ -88,15 +88,15 @@
         ValueError: if it is malformed, or its lists differ in length.
     """
     mark = data[:1]
-    if mark == PLACE_MARK:
+    if mark == PLACE_TAG:
         return _checked_place(_decode_place(data[1:]))
-    if mark == OWNER_MARK:
+    if mark == OWNER_TAG:
         return _decode_owner(data[1:])
-    if mark == CRASH_MARK:
+    if mark == CRASH_TAG:
         return _checked_crash(_decode_crash(data[1:]))
-    if mark == LIMIT_MARK:
+    if mark == LIMIT_TAG:
         return _checked_limit(_decode_limit(data[1:]))
-    if mark == DUTY_MARK:
+    if mark == DUTY_TAG:
         return _checked_duty(_decode_duty(data[1:]))
     return _checked_peer(_decode_peer(data))
 
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -653,7 +653,7 @@
     ),
     Safeguard(
         "lists of a datagram are of one length",
-        "peerwords",
+        "peermessages",
         "if len({len(item) for item in lists}) != 1:",
         "if False:",
         "test_dispatcher.PeerMessageTest.test_invalid_data_is_rejected",
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -10,7 +10,7 @@
 import anyio
 import msgspec
 
-from jasminerelay import cells, peerwords, placementclient
+from jasminerelay import cells, peermessages, placementclient
 from jasminerelay.catalog import Call, Prompt, PromptPart
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.enginemodel import SLOT_SHARE
@@ -206,9 +206,9 @@
         dropped = {self.name, owner.instance} & self.site.crashed
         if dropped or self.site.lose():
             return
-        data = peerwords.encode(message)
+        data = peermessages.encode(message)
         self.site.nodes[owner.instance].owned.handle_message(
-            peerwords.decode(data)
+            peermessages.decode(data)
         )
 
     def _send_answers(self, address: str, message) -> None:
@@ -218,9 +218,9 @@
         )
         if dropped or self.site.lose():
             return
-        data = peerwords.encode(message)
+        data = peermessages.encode(message)
         self.site.nodes[to].placement_client.handle_message(
-            peerwords.decode(data)
+            peermessages.decode(data)
         )
 
 
@@ -325,13 +325,13 @@
         uneven = dataclasses.replace(ask, part_tokens=[1, 2, 3])
         message = CellUpdate("a", "a:1", SERVICE, 0, 1, [uneven], [], [], [])
         for data in (
-            peerwords.PLACE_MARK,
-            peerwords.OWNER_MARK + b"\x80",
-            peerwords.PLACE_MARK + b"\xc1",
-            peerwords.encode(message),
+            peermessages.PLACE_TAG,
+            peermessages.OWNER_TAG + b"\x80",
+            peermessages.PLACE_TAG + b"\xc1",
+            peermessages.encode(message),
         ):
             with self.assertRaises(ValueError):
-                peerwords.decode(data)
+                peermessages.decode(data)
 
 
 class FollowersTest(unittest.TestCase):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from jasminerelay import peerwords
+from jasminerelay import peermessages
 from jasminerelay.catalog import Prompt, PromptPart
 from jasminerelay.dispatcher import SPLIT_INTERVAL_S, Dispatcher
 from jasminerelay.enginemodel import MIN_SAMPLES
@@ -319,15 +319,15 @@
             "edge-1/0123456789ab",
             7,
             ReplicaStatus(1, 2, 3),
-            peerwords.load_columns(loads),
-            peerwords.demand_columns(demand),
+            peermessages.load_columns(loads),
+            peermessages.demand_columns(demand),
         )
 
     def test_round_trip(self) -> None:
         loads = [ServerLoad("a", 1, 2, 3, 4), ServerLoad("b", 5, 6, 7)]
-        word = peerwords.decode(peerwords.encode(self.word(loads)))
-        self.assertEqual(peerwords.load_rows(word.loads), loads)
-        (demand,) = peerwords.demand_rows(word.demand)
+        word = peermessages.decode(peermessages.encode(self.word(loads)))
+        self.assertEqual(peermessages.load_rows(word.loads), loads)
+        (demand,) = peermessages.demand_rows(word.demand)
         self.assertEqual((demand.kind, demand.rank), ("pool/long", 2))
 
     def test_datagram_size(self) -> None:
@@ -336,16 +336,16 @@
             ServerLoad(f"i-{number:010x}", 9000, 3, 40_000, 5000)
             for number in range(30)
         ]
-        self.assertLess(len(peerwords.encode(self.word(loads))), 1100)
+        self.assertLess(len(peermessages.encode(self.word(loads))), 1100)
 
     def test_invalid_data_is_rejected(self) -> None:
         # With lists of different lengths a server would get another server's
         # load.
         word = self.word([ServerLoad("a", 1, 2, 3, 4)])
         word.loads.unread.clear()
-        for data in (b"", b"\xc1", b"\x80", peerwords.encode(word)):
+        for data in (b"", b"\xc1", b"\x80", peermessages.encode(word)):
             with self.assertRaises(ValueError):
-                peerwords.decode(data)
+                peermessages.decode(data)
 
 
 if __name__ == "__main__":
--- a/tests/test_placedonce.py
+++ b/tests/test_placedonce.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from jasminerelay import cells, peerwords, placementclient
+from jasminerelay import cells, peermessages, placementclient
 from jasminerelay.placementqueue import Reservation
 from jasminerelay.schema.messages import OwnerAnswers
 from tests.test_cells import SERVICE, Node, Site, prompts
@@ -42,9 +42,9 @@
         """Delivers owners' answers to the instance, `times` times each."""
         for _ in range(times):
             for _, message in list(answers_sent):
-                data = peerwords.encode(message)
+                data = peermessages.encode(message)
                 self.node.placement_client.handle_message(
-                    peerwords.decode(data)
+                    peermessages.decode(data)
                 )
                 await anyio.sleep(0)
 
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -7,7 +7,7 @@
 import msgspec
 from hypothesis import given, settings, strategies
 
-from jasminerelay import peerwords
+from jasminerelay import peermessages
 from jasminerelay.eventlog import EventLog
 from jasminerelay.metrics import Counters
 from jasminerelay.platform import documents, headers, storeclient
@@ -326,7 +326,7 @@
     @given(strategies.binary())
     def test_messages_of_instances(self, data: bytes) -> None:
         try:
-            peerwords.decode(data)
+            peermessages.decode(data)
         except ValueError as exc:
             self.assertTrue(str(exc))
 
