--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -14,9 +14,9 @@
 
 from jasminerelay import peermessages, rendezvous
 from jasminerelay.dispatcher import Dispatcher
-from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.errors import StoreError
 from jasminerelay.eventlog import EventLog
+from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.freshness import now_s
 from jasminerelay.groups import TotalDemand
 from jasminerelay.leasing import LeaseKeeper
@@ -89,7 +89,7 @@
         self,
         own: Member,
         keeper: LeaseKeeper,
-        caller: DutyDesk,
+        caller: FencedCaller,
         usage: OwnUsage,
         ledger: UsageLedger,
         clock: TrueClock,
--- a/src/jasminerelay/dutydesk.py
+++ b/src/jasminerelay/fencedcalls.py
@@ -16,7 +16,7 @@
 platform may be unreachable from this one alone."""
 
 
-class DutyDesk:
+class FencedCaller:
     """Makes the lease holder's calls under the lease's fencing token."""
 
     def __init__(
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -4,8 +4,8 @@
 
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.duties import Duties
-from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.eventlog import EventLog
+from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.fencing import Lease
 from jasminerelay.freshness import now_s
 from jasminerelay.httpclient import HttpClient
@@ -56,7 +56,7 @@
     table = DutyTable(store, log)
     keeper = LeaseKeeper(table, lease, boot.name, own.instance, now_s)
     calls = DutyApi(client, options.address, boot.name, call_s, log)
-    caller = DutyDesk(keeper, calls, options.calls_s, now_s, counters, log)
+    caller = FencedCaller(keeper, calls, options.calls_s, now_s, counters, log)
     clock = TrueClock(now_s(), time.time())
     usage = OwnUsage(options.window_s)
     ledger = UsageLedger()
--- a/src/jasminerelay/serverorders.py
+++ b/src/jasminerelay/serverorders.py
@@ -4,8 +4,8 @@
 
 from jasminerelay.catalog import Service
 from jasminerelay.dutycalls import CallResult
-from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.eventlog import EventLog
+from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.metrics import Counters
 from jasminerelay.registry import Registry
 from jasminerelay.scaling import Order, ServerPlanner
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        caller: DutyDesk,
+        caller: FencedCaller,
         registry: Registry,
         work: Callable[[str], float | None],
         clock: Callable[[], float],
--- a/src/jasminerelay/usagereports.py
+++ b/src/jasminerelay/usagereports.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.eventlog import EventLog
+from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.metrics import Counters
 from jasminerelay.usage import Report, UsageLedger
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        caller: DutyDesk,
+        caller: FencedCaller,
         decided: DecidedReports,
         ledger: UsageLedger,
         window_s: float,
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -9,8 +9,8 @@
 
 from jasminerelay.duties import Duties
 from jasminerelay.dutycalls import CallResult
-from jasminerelay.dutydesk import DutyDesk
 from jasminerelay.errors import StoreError
+from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.fencing import Lease, LeaseRow
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.registry import StoreStatus
@@ -206,7 +206,7 @@
 class RepeatedOrders:
     """Gives an order in each round, so that alternating holders show."""
 
-    def __init__(self, caller: DutyDesk):
+    def __init__(self, caller: FencedCaller):
         self._caller = caller
         self._count = 0
 
@@ -266,7 +266,7 @@
         rows = StoreAccess(self)
         keeper = LeaseKeeper(rows, lease, machine, name, anyio.current_time)
         calls = PlatformAccess(self, machine)
-        caller = DutyDesk(
+        caller = FencedCaller(
             keeper, calls, 50.0, anyio.current_time, Quiet(), Quiet()
         )
         ledger = UsageLedger()
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -7,11 +7,11 @@
 import sys
 import unittest
 
-from jasminerelay import duties, dutydesk, fencing, freshness, leasing
+from jasminerelay import duties, fencedcalls, fencing, freshness, leasing
 from tests import virtualtime
 from tests.dutyworld import DURATION_S, LATE_S, WINDOW_S, DutySimulation
 
-MODULES = (duties, dutydesk, fencing, freshness, leasing)
+MODULES = (duties, fencedcalls, fencing, freshness, leasing)
 SEEDS = 12
 
 
