--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -30,7 +30,7 @@
 )
 from jasminerelay.serverorders import ServerOrders
 from jasminerelay.trueclock import MAX_SKEW_S, TrueClock, median_skew_s
-from jasminerelay.usage import OwnUsage, UsageLedger
+from jasminerelay.usage import LocalUsage, UsageLedger
 from jasminerelay.usagereports import UsageReports
 
 MS_PER_S = 1e3
@@ -90,7 +90,7 @@
         own: Member,
         keeper: LeaseKeeper,
         caller: FencedCaller,
-        usage: OwnUsage,
+        usage: LocalUsage,
         ledger: UsageLedger,
         clock: TrueClock,
         dispatcher: Dispatcher,
--- a/src/jasminerelay/dutycalls.py
+++ b/src/jasminerelay/dutycalls.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from jasminerelay.scaling import Order
-from jasminerelay.usage import Report
+from jasminerelay.usage import UsageReport
 
 
 class CallResult(enum.Enum):
@@ -25,7 +25,7 @@
 class DutyCalls(Protocol):
     """The platform's interface for duties."""
 
-    async def report(self, report: Report, fence: int) -> CallResult:
+    async def report(self, report: UsageReport, fence: int) -> CallResult:
         """Reports the usage of a window."""
 
     async def order(self, order: Order, fence: int) -> CallResult:
--- a/src/jasminerelay/fencedcalls.py
+++ b/src/jasminerelay/fencedcalls.py
@@ -9,7 +9,7 @@
 from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.metrics import Counters
 from jasminerelay.scaling import Order
-from jasminerelay.usage import Report
+from jasminerelay.usage import UsageReport
 
 MAX_FAILED_CALLS = 4
 """Failed calls in a row after which another instance should take over: the
@@ -63,11 +63,11 @@
         self._failed_calls = 0
         self._renew_first = False
 
-    async def decide(self, report: Report) -> bool:
+    async def decide(self, report: UsageReport) -> bool:
         """Stores a report unless one is stored; StoreError if unanswered."""
         return await self._keeper.renew(report)
 
-    async def report(self, report: Report) -> bool:
+    async def report(self, report: UsageReport) -> bool:
         """Sends a stored report; returns whether the platform accepted it."""
         if not await self._prepare_call():
             return False
--- a/src/jasminerelay/platform/dutyapi.py
+++ b/src/jasminerelay/platform/dutyapi.py
@@ -16,7 +16,7 @@
     NotSentError,
 )
 from jasminerelay.scaling import Order
-from jasminerelay.usage import Report
+from jasminerelay.usage import UsageReport
 
 OK = 200
 CONFLICT = 409
@@ -63,7 +63,7 @@
         self._timeout_s = timeout_s
         self._log = log
 
-    async def report(self, report: Report, fence: int) -> CallResult:
+    async def report(self, report: UsageReport, fence: int) -> CallResult:
         """Reports the usage of a window."""
         body = _Usage(report.window, report.counts)
         return await self._post("/usage", body, fence)
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -19,7 +19,7 @@
 from jasminerelay.schema.messages import Member
 from jasminerelay.serverorders import ServerOrders
 from jasminerelay.trueclock import TrueClock
-from jasminerelay.usage import OwnUsage, UsageLedger
+from jasminerelay.usage import LocalUsage, UsageLedger
 from jasminerelay.usagereports import UsageReports
 
 LEASE_SHARE = 2 / 3
@@ -58,7 +58,7 @@
     calls = DutyApi(client, options.address, boot.name, call_s, log)
     caller = FencedCaller(keeper, calls, options.calls_s, now_s, counters, log)
     clock = TrueClock(now_s(), time.time())
-    usage = OwnUsage(options.window_s)
+    usage = LocalUsage(options.window_s)
     ledger = UsageLedger()
     duties = Duties(
         own,
--- a/src/jasminerelay/platform/tables.py
+++ b/src/jasminerelay/platform/tables.py
@@ -11,7 +11,7 @@
 from jasminerelay.platform.storeclient import Condition, NewRow, Store
 from jasminerelay.schema.messages import RequestCrashes, ServerRow
 from jasminerelay.storefollowing import TablePage
-from jasminerelay.usage import Report
+from jasminerelay.usage import UsageReport
 
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
@@ -123,7 +123,7 @@
         return self._stored_lease(page.rows, page.now_s)
 
     async def write(
-        self, expect: int, row: LeaseRow, extra: Report | None = None
+        self, expect: int, row: LeaseRow, extra: UsageReport | None = None
     ) -> tuple[bool, _StoredLease]:
         """Writes the lease and, in the same transaction, the report if any."""
         at_ms = self._store.latest_store_now_s() * MS_PER_S
--- a/src/jasminerelay/usage.py
+++ b/src/jasminerelay/usage.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Report:
+class UsageReport:
     """Usage in one window, as reported to the platform.
 
     Attributes:
@@ -43,7 +43,7 @@
     changed_at: float = -math.inf
 
 
-class OwnUsage:
+class LocalUsage:
     """Requests that servers started for one instance."""
 
     def __init__(self, window_s: float):
--- a/src/jasminerelay/usagereports.py
+++ b/src/jasminerelay/usagereports.py
@@ -12,7 +12,7 @@
 from jasminerelay.eventlog import EventLog
 from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.metrics import Counters
-from jasminerelay.usage import Report, UsageLedger
+from jasminerelay.usage import UsageLedger, UsageReport
 
 DECIDE_AFTER_SHARE = 0.5
 """Fraction of the time until a report is due after which it is decided. Counts
@@ -80,7 +80,7 @@
                 await self._decide(window)
             counts = self._decided.reports.get(window)
             if counts is not None and window not in self._sent:
-                await self._send(Report(window, counts))
+                await self._send(UsageReport(window, counts))
 
     def _due_windows(self) -> list[int]:
         """Returns the windows whose reports may be decided and are in time."""
@@ -96,7 +96,7 @@
         if not self._ledger.complete(window):
             self._record_miss(window)
             return
-        report = Report(window, self._ledger.counts(window))
+        report = UsageReport(window, self._ledger.counts(window))
         if await self._caller.decide(report):
             self._counters.incr("usage.decided")
 
@@ -111,7 +111,7 @@
             why="this instance has not received all usage of the window",
         )
 
-    async def _send(self, report: Report) -> None:
+    async def _send(self, report: UsageReport) -> None:
         done = await self._caller.report(report)
         age_s = self._true_s() - (report.window + 1) * self._window_s
         self._log.info(
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -17,7 +17,7 @@
 from jasminerelay.scaling import Order
 from jasminerelay.schema.messages import Member
 from jasminerelay.trueclock import TrueClock
-from jasminerelay.usage import OwnUsage, Report, UsageLedger
+from jasminerelay.usage import LocalUsage, UsageLedger, UsageReport
 from jasminerelay.usagereports import UsageReports
 from standins.platformduties import CONFLICT, DutyCallChecker
 from tests.instanceworld import InstanceWorld, Node, Quiet
@@ -67,7 +67,11 @@
         return _VersionedLease(version, row, age_s)
 
     def commit(
-        self, expect: int, row: LeaseRow, report: Report | None, sent_at: float
+        self,
+        expect: int,
+        row: LeaseRow,
+        report: UsageReport | None,
+        sent_at: float,
     ) -> bool:
         """Writes the lease and a report if the conditions hold."""
         if self.held().version != expect:
@@ -107,7 +111,7 @@
         return held
 
     async def write(
-        self, expect: int, row: LeaseRow, extra: Report | None = None
+        self, expect: int, row: LeaseRow, extra: UsageReport | None = None
     ) -> tuple[bool, _VersionedLease]:
         """Writes the lease, and a report with it if there is one."""
         sent_at = anyio.current_time()
@@ -159,7 +163,7 @@
         self._machine = machine
         self.frozen_s = 0.0
 
-    async def report(self, report: Report, fence: int) -> CallResult:
+    async def report(self, report: UsageReport, fence: int) -> CallResult:
         """Reports the usage of a window."""
         judge = self._simulation.checker
         return await self._call(
@@ -278,7 +282,7 @@
             Member(name, "", "", "", "", name, "alive", 0),
             keeper,
             caller,
-            OwnUsage(WINDOW_S),
+            LocalUsage(WINDOW_S),
             ledger,
             TrueClock(now, now),
             types.SimpleNamespace(own_demand=list),
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -19,7 +19,7 @@
 from jasminerelay.platform.storeclient import Store
 from jasminerelay.platform.tables import DutyTable
 from jasminerelay.scaling import Order
-from jasminerelay.usage import Report
+from jasminerelay.usage import UsageReport
 from standins.platformsite import MODEL_BACKEND, SiteOptions
 from standins.platformstore import PlatformStore
 from tests.instanceworld import Quiet
@@ -135,7 +135,7 @@
         """Reports usage; returns the result for a response."""
         self.client = _Client(answer)
         api = DutyApi(self.client, "127.0.0.1:5", "edge-1", 0.5, Quiet())
-        return await api.report(Report(7, {"elm": 2}), 12)
+        return await api.report(UsageReport(7, {"elm": 2}), 12)
 
     async def test_report(self) -> None:
         self.assertIs(await self.said(200), CallResult.DONE)
@@ -244,11 +244,15 @@
         self.client.lose_next = True
         with self.assertRaises(StoreError):
             await first.write(
-                held.version, LeaseRow("a", "a/1", "t2"), Report(7, {"elm": 2})
+                held.version,
+                LeaseRow("a", "a/1", "t2"),
+                UsageReport(7, {"elm": 2}),
             )
         found = await second.read()
         done, _ = await second.write(
-            found.version, LeaseRow("b", "b/1", "t3"), Report(7, {"elm": 3})
+            found.version,
+            LeaseRow("b", "b/1", "t3"),
+            UsageReport(7, {"elm": 3}),
         )
         self.assertFalse(done)
         self.assertEqual(second.reports[7], {"elm": 2})
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -7,7 +7,12 @@
     TrueClock,
     median_skew_s,
 )
-from jasminerelay.usage import KEPT_WINDOWS, RESEND_FOR_S, OwnUsage, UsageLedger
+from jasminerelay.usage import (
+    KEPT_WINDOWS,
+    RESEND_FOR_S,
+    LocalUsage,
+    UsageLedger,
+)
 
 WINDOW_S = 5.0
 
@@ -16,7 +21,7 @@
     """Totals that one instance counts and sends."""
 
     def setUp(self) -> None:
-        self.usage = OwnUsage(WINDOW_S)
+        self.usage = LocalUsage(WINDOW_S)
 
     def test_windows_by_true_time(self) -> None:
         self.usage.record_start("elm", 9.99, 0.0)
@@ -46,7 +51,7 @@
 
     def setUp(self) -> None:
         self.ledger = UsageLedger()
-        self.usage = OwnUsage(WINDOW_S)
+        self.usage = LocalUsage(WINDOW_S)
 
     def test_duplicate_and_late_totals_count_once(self) -> None:
         self.usage.record_start("elm", 1.0, 0.0)
