--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -31,7 +31,7 @@
 from jasminerelay.serverorders import ServerOrders
 from jasminerelay.trueclock import MAX_SKEW_S, TrueClock, median_skew_s
 from jasminerelay.usage import LocalUsage, UsageLedger
-from jasminerelay.usagereports import UsageReports
+from jasminerelay.usagereports import UsageReporter
 
 MS_PER_S = 1e3
 
@@ -115,7 +115,7 @@
         self._own = own
         self._keeper = keeper
         self._caller = caller
-        self.reports: UsageReports | None = None
+        self.reports: UsageReporter | None = None
         self.orders: ServerOrders | None = None
         self._usage = usage
         self._ledger = ledger
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -20,7 +20,7 @@
 from jasminerelay.serverorders import ServerOrders
 from jasminerelay.trueclock import TrueClock
 from jasminerelay.usage import LocalUsage, UsageLedger
-from jasminerelay.usagereports import UsageReports
+from jasminerelay.usagereports import UsageReporter
 
 LEASE_SHARE = 2 / 3
 RENEW_SHARE = 1 / 3
@@ -74,7 +74,7 @@
     )
     duties.first_start = boot.first_start
     if options.usage:
-        duties.reports = UsageReports(
+        duties.reports = UsageReporter(
             caller,
             table,
             ledger,
--- a/src/jasminerelay/usagereports.py
+++ b/src/jasminerelay/usagereports.py
@@ -30,7 +30,7 @@
     reports: Mapping[int, dict[str, int]]
 
 
-class UsageReports:
+class UsageReporter:
     """Decides and sends reports while this instance holds the lease."""
 
     def __init__(
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -18,7 +18,7 @@
 from jasminerelay.schema.messages import Member
 from jasminerelay.trueclock import TrueClock
 from jasminerelay.usage import LocalUsage, UsageLedger, UsageReport
-from jasminerelay.usagereports import UsageReports
+from jasminerelay.usagereports import UsageReporter
 from standins.platformduties import CONFLICT, DutyCallChecker
 from tests.instanceworld import InstanceWorld, Node, Quiet
 
@@ -290,7 +290,7 @@
             Quiet(),
             Quiet(),
         )
-        watch.reports = UsageReports(
+        watch.reports = UsageReporter(
             caller,
             rows,
             ledger,
