--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -28,7 +28,7 @@
     RouteDemand,
     UsageWindow,
 )
-from jasminerelay.serverorders import ServerOrders
+from jasminerelay.serverorders import Autoscaler
 from jasminerelay.trueclock import MAX_SKEW_S, TrueClock, median_skew_s
 from jasminerelay.usage import LocalUsage, UsageLedger
 from jasminerelay.usagereports import UsageReporter
@@ -116,7 +116,7 @@
         self._keeper = keeper
         self._caller = caller
         self.reports: UsageReporter | None = None
-        self.orders: ServerOrders | None = None
+        self.orders: Autoscaler | None = None
         self._usage = usage
         self._ledger = ledger
         self._clock = clock
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -17,7 +17,7 @@
 from jasminerelay.platform.tables import DutyTable
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import Member
-from jasminerelay.serverorders import ServerOrders
+from jasminerelay.serverorders import Autoscaler
 from jasminerelay.trueclock import TrueClock
 from jasminerelay.usage import LocalUsage, UsageLedger
 from jasminerelay.usagereports import UsageReporter
@@ -85,7 +85,7 @@
             log,
         )
     if options.servers:
-        duties.orders = ServerOrders(
+        duties.orders = Autoscaler(
             caller, registry, duties.work, now_s, counters, log
         )
     return duties
--- a/src/jasminerelay/serverorders.py
+++ b/src/jasminerelay/serverorders.py
@@ -14,7 +14,7 @@
 """Interval at which the number of servers is planned."""
 
 
-class ServerOrders:
+class Autoscaler:
     """Plans and orders servers while this instance holds the lease."""
 
     def __init__(
