--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -43,7 +43,7 @@
 from jasminerelay.manifestmanager import ManifestManager
 from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.permitclient import PermitClient
-from jasminerelay.placements import Placer
+from jasminerelay.placements import PlacementReconciler
 from jasminerelay.resume import Signer
 from jasminerelay.retry import RetryBudget
 from jasminerelay.schema.manifest import Server
@@ -286,7 +286,7 @@
         )
         self._broker_links.set_handler(self.permit_client, self._peer_address)
 
-        self._placer = Placer(
+        self._placer = PlacementReconciler(
             self.membership.own_member,
             self.membership.live,
             self._directory,
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -86,7 +86,7 @@
     state: _LoadedState
 
 
-class Placer:
+class PlacementReconciler:
     """Takes part in the lease and gives orders while it is held."""
 
     def __init__(
