--- a/src/jasminerelay/dutycalls.py
+++ b/src/jasminerelay/dutycalls.py
@@ -3,7 +3,7 @@
 import enum
 from typing import Protocol
 
-from jasminerelay.scaling import Order
+from jasminerelay.scaling import ServerOrder
 from jasminerelay.usage import UsageReport
 
 
@@ -28,5 +28,5 @@
     async def report(self, report: UsageReport, fence: int) -> CallResult:
         """Reports the usage of a window."""
 
-    async def order(self, order: Order, fence: int) -> CallResult:
+    async def order(self, order: ServerOrder, fence: int) -> CallResult:
         """Orders a number of servers."""
--- a/src/jasminerelay/fencedcalls.py
+++ b/src/jasminerelay/fencedcalls.py
@@ -8,7 +8,7 @@
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.metrics import Counters
-from jasminerelay.scaling import Order
+from jasminerelay.scaling import ServerOrder
 from jasminerelay.usage import UsageReport
 
 MAX_FAILED_CALLS = 4
@@ -77,7 +77,7 @@
             self._on_fenced()
         return said is CallResult.DONE
 
-    async def order(self, order: Order) -> CallResult:
+    async def order(self, order: ServerOrder) -> CallResult:
         """Orders servers; returns the result of the call."""
         if not await self._prepare_call():
             return CallResult.UNAVAILABLE
--- a/src/jasminerelay/platform/dutyapi.py
+++ b/src/jasminerelay/platform/dutyapi.py
@@ -15,7 +15,7 @@
     IncompleteExchangeError,
     NotSentError,
 )
-from jasminerelay.scaling import Order
+from jasminerelay.scaling import ServerOrder
 from jasminerelay.usage import UsageReport
 
 OK = 200
@@ -68,7 +68,7 @@
         body = _Usage(report.window, report.counts)
         return await self._post("/usage", body, fence)
 
-    async def order(self, order: Order, fence: int) -> CallResult:
+    async def order(self, order: ServerOrder, fence: int) -> CallResult:
         """Sets the number of servers to run."""
         body = _Scale(order.service, order.zone, order.count, order.preemptible)
         return await self._post("/scale", body, fence)
--- a/src/jasminerelay/scaling.py
+++ b/src/jasminerelay/scaling.py
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Order:
+class ServerOrder:
     """The desired number of servers of one kind in one zone.
 
     Attributes:
@@ -137,7 +137,7 @@
         servers: Iterable[BackendServer],
         work: float,
         now: float,
-    ) -> list[Order]:
+    ) -> list[ServerOrder]:
         """Returns the orders to be given now.
 
         Args:
@@ -179,7 +179,7 @@
         # Decreases first, since both kinds together are bounded.
         return sorted(orders, key=self._is_increase)
 
-    def _is_increase(self, order: Order) -> bool:
+    def _is_increase(self, order: ServerOrder) -> bool:
         kind = self._pool(order.zone, order.preemptible)
         return order.count > kind.desired
 
@@ -276,7 +276,7 @@
             free -= fewer
         return remaining
 
-    def accepted(self, order: Order, now: float) -> None:
+    def accepted(self, order: ServerOrder, now: float) -> None:
         """Records an order that was executed, or may have been."""
         kind = self._pool(order.zone, order.preemptible)
         self._has_ordered = True
@@ -285,7 +285,7 @@
             kind.refused_at = -math.inf
         kind.ordered = order.count
 
-    def refused(self, order: Order, now: float) -> None:
+    def refused(self, order: ServerOrder, now: float) -> None:
         """Records that servers of this kind are unavailable for now."""
         self._pool(order.zone, order.preemptible).refused_at = now
 
@@ -365,9 +365,9 @@
         counts: Mapping[str, int],
         scaling: Scaling,
         now: float,
-    ) -> list[Order]:
+    ) -> list[ServerOrder]:
         return [
-            Order(self._service, zone, preemptible, count)
+            ServerOrder(self._service, zone, preemptible, count)
             for zone, count in counts.items()
             if self._is_due(self._pool(zone, preemptible), count, scaling, now)
         ]
--- a/src/jasminerelay/serverorders.py
+++ b/src/jasminerelay/serverorders.py
@@ -8,7 +8,7 @@
 from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.metrics import Counters
 from jasminerelay.registry import Registry
-from jasminerelay.scaling import Order, ServerPlanner
+from jasminerelay.scaling import ServerOrder, ServerPlanner
 
 PLAN_INTERVAL_S = 0.5
 """Interval at which the number of servers is planned."""
@@ -80,7 +80,7 @@
     def _record_result(
         self,
         planner: ServerPlanner,
-        order: Order,
+        order: ServerOrder,
         said: CallResult,
         work: float,
         there: int,
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -14,7 +14,7 @@
 from jasminerelay.fencing import Lease, LeaseRow
 from jasminerelay.leasing import LeaseKeeper
 from jasminerelay.registry import StoreStatus
-from jasminerelay.scaling import Order
+from jasminerelay.scaling import ServerOrder
 from jasminerelay.schema.messages import Member
 from jasminerelay.trueclock import TrueClock
 from jasminerelay.usage import LocalUsage, UsageLedger, UsageReport
@@ -177,7 +177,7 @@
             )
         )
 
-    async def order(self, order: Order, fence: int) -> CallResult:
+    async def order(self, order: ServerOrder, fence: int) -> CallResult:
         """Orders a number of servers."""
         judge = self._simulation.checker
         place = (order.service, order.zone, order.preemptible)
@@ -220,7 +220,9 @@
     async def serve(self) -> None:
         """Orders one server more than before."""
         self._count += 1
-        await self._caller.order(Order("engines", "a", False, self._count))
+        await self._caller.order(
+            ServerOrder("engines", "a", False, self._count)
+        )
 
 
 class DutySimulation(InstanceWorld):
--- a/tests/scalingworld.py
+++ b/tests/scalingworld.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from jasminerelay.catalog import BackendServer, Scaling
-from jasminerelay.scaling import Order, ServerPlanner
+from jasminerelay.scaling import ServerOrder, ServerPlanner
 
 SERVICE = "engines"
 ZONES = {"a": 1.0, "b": 0.8, "c": 1.25}
@@ -46,7 +46,7 @@
         self.now = 0.0
         self.allowed = allowed
         self.planner = ServerPlanner(SERVICE)
-        self.orders: list[tuple[float, Order]] = []
+        self.orders: list[tuple[float, ServerOrder]] = []
         self.paid = 0.0
         self.min_running = 10**6
         self._unavailable_until: dict[str, float] = {}
@@ -115,7 +115,7 @@
                 price *= self.allowed.preemptible_price
             self.paid += price * STEP_S
 
-    def _execute(self, order: Order) -> None:
+    def _execute(self, order: ServerOrder) -> None:
         pool = [
             x
             for x in self._servers
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -18,7 +18,7 @@
 from jasminerelay.platform.dutyapi import DutyApi
 from jasminerelay.platform.storeclient import Store
 from jasminerelay.platform.tables import DutyTable
-from jasminerelay.scaling import Order
+from jasminerelay.scaling import ServerOrder
 from jasminerelay.usage import UsageReport
 from standins.platformsite import MODEL_BACKEND, SiteOptions
 from standins.platformstore import PlatformStore
@@ -150,8 +150,8 @@
     async def test_order(self) -> None:
         client = _Client(200)
         api = DutyApi(client, "127.0.0.1:5", "edge-1", 0.5, Quiet())
-        await api.order(Order("s", "a", True, 6), 13)
-        await api.order(Order("s", "a", False, 0), 13)
+        await api.order(ServerOrder("s", "a", True, 6), 13)
+        await api.order(ServerOrder("s", "a", False, 0), 13)
         self.assertEqual(
             [json.loads(item.body) for item in client.sent],
             [
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from jasminerelay.scaling import Order, ServerPlanner
+from jasminerelay.scaling import ServerOrder, ServerPlanner
 from tests.scalingworld import ZONES, ScalingSimulation, scaling
 
 NORMAL_LOAD = 8.0
@@ -197,7 +197,7 @@
         orders = planner.plan(scaling(), [], 1.0, now=0.0)
         counts = {x.zone: x.count for x in orders if x.preemptible}
         self.assertGreaterEqual(counts["b"], counts["c"])
-        self.assertIsInstance(orders[0], Order)
+        self.assertIsInstance(orders[0], ServerOrder)
 
 
 if __name__ == "__main__":
