--- a/src/jasminerelay/callers.py
+++ b/src/jasminerelay/callers.py
@@ -26,11 +26,11 @@
 )
 from jasminerelay.manifest import Directory
 from jasminerelay.modelrequests import CHAT_PATH, TEXT_PATH
-from jasminerelay.replies import (
+from jasminerelay.responses import (
     TICKET_HEADER,
-    ReplyKit,
+    JsonObjectResponse,
+    ResponseContext,
     StreamResponse,
-    WholeResponse,
     error_response,
 )
 from jasminerelay.resume import ResumePoint, Signer
@@ -74,7 +74,7 @@
     completions: Completions
     services: ServiceCalls
     signer: Signer
-    responses: ReplyKit
+    responses: ResponseContext
 
 
 class Application:
@@ -205,7 +205,7 @@
             answer = self._front.completions.start(parsed, placement)
         if parsed.stream:
             return StreamResponse(self._front.responses, answer, parsed)
-        return WholeResponse(self._front.responses, answer, parsed)
+        return JsonObjectResponse(self._front.responses, answer, parsed)
 
     async def service(self, request: Request) -> Response:
         """Forwards a call to a plain service."""
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -27,7 +27,7 @@
     operators,
     peers,
     ports,
-    replies,
+    responses,
     settings,
     stopsignals,
 )
@@ -332,7 +332,7 @@
             self._spawn,
             signer.ticket,
         )
-        self.progress = replies.Progress(cfg.bounds.max_requests)
+        self.progress = responses.ActiveRequests(cfg.bounds.max_requests)
         self._frontend_context = callers.FrontendContext(
             self._directory,
             self.entries,
@@ -340,7 +340,7 @@
             completions,
             services,
             signer,
-            replies.ReplyKit(
+            responses.ResponseContext(
                 self.counters, cfg.bounds, self.progress, self._watchdog
             ),
         )
--- a/src/jasminerelay/operators.py
+++ b/src/jasminerelay/operators.py
@@ -21,7 +21,7 @@
 )
 from jasminerelay.manifestmanager import ManifestManager
 from jasminerelay.metrics import Counters
-from jasminerelay.replies import error_response
+from jasminerelay.responses import error_response
 
 VERSION_HEADER = "if-match"
 MAX_MANIFEST_BYTES = 16 << 20
--- a/src/jasminerelay/replies.py
+++ b/src/jasminerelay/responses.py
@@ -21,7 +21,7 @@
 RAN_HEADER = "x-ran"
 
 
-class Progress:
+class ActiveRequests:
     """Bounds the requests in progress and counts them for draining."""
 
     def __init__(self, limit: int):
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ReplyKit:
+class ResponseContext:
     """Components of an instance that responses depend on.
 
     Attributes:
@@ -52,7 +52,7 @@
 
     counters: Counters
     bounds: Bounds
-    progress: Progress
+    progress: ActiveRequests
     watchdog: Watchdog
 
 
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        kit: ReplyKit,
+        kit: ResponseContext,
         answer: Answer,
         request: ModelRequest,
     ):
@@ -133,7 +133,7 @@
         await send(_body_message(b"data: [DONE]\n\n", last=True))
 
 
-class WholeResponse(AnswerResponse):
+class JsonObjectResponse(AnswerResponse):
     """Sends an answer as one JSON object."""
 
     async def _run(self, scope, receive, send) -> None:
