--- a/bench/claims.py
+++ b/bench/claims.py
@@ -16,7 +16,7 @@
 from jasminerelay.httpclient import HttpClient
 from jasminerelay.metrics import Counters
 from jasminerelay.schema.settings import Platform, Statsd
-from jasminerelay.store import Objects, Table
+from jasminerelay.store import ObjectStoreClient, TableClient
 from jasminerelay.watchdog import Watchdog
 from standins.launcher import Options, System, call
 
@@ -73,8 +73,8 @@
     client = HttpClient(Watchdog())
     platform = Platform(**urls)
     desk = ClaimStore(
-        Table(client, platform, 2.0),
-        Objects(client, platform, 2.0),
+        TableClient(client, platform, 2.0),
+        ObjectStoreClient(client, platform, 2.0),
         Counters(Statsd()),
         5.0,
         16384,
--- a/src/jasminerelay/claimstore.py
+++ b/src/jasminerelay/claimstore.py
@@ -17,7 +17,14 @@
 from jasminerelay.claims import Claim
 from jasminerelay.errors import RAN_UNKNOWN, StoreError
 from jasminerelay.metrics import Counters
-from jasminerelay.store import ABSENT, Objects, Row, Table, Write, Written
+from jasminerelay.store import (
+    ABSENT,
+    ConditionalWrite,
+    ObjectStoreClient,
+    Row,
+    TableClient,
+    WriteResult,
+)
 
 _log = logging.getLogger(__name__)
 
@@ -57,9 +64,9 @@
 
 @dataclasses.dataclass
 class _QueuedWrite:
-    write: Write
+    write: ConditionalWrite
     done: anyio.Event
-    written: Written | None = None
+    written: WriteResult | None = None
     error: StoreError | None = None
 
 
@@ -68,8 +75,8 @@
 
     def __init__(
         self,
-        table: Table,
-        objects: Objects,
+        table: TableClient,
+        objects: ObjectStoreClient,
         counters: Counters,
         ack_timeout_s: float,
         max_inline: int,
@@ -171,7 +178,9 @@
         expect = ABSENT
         while True:
             try:
-                written = await self._write(Write(key, expect, claim))
+                written = await self._write(
+                    ConditionalWrite(key, expect, claim)
+                )
             except StoreError:
                 # The write may have taken effect and only the
                 # acknowledgement been lost. Writing again is safe: the
@@ -217,7 +226,7 @@
                 )
             await self._retry_until_stored(
                 lambda: self._write(
-                    Write(acquired.key, acquired.version, claim)
+                    ConditionalWrite(acquired.key, acquired.version, claim)
                 )
             )
         finally:
@@ -232,7 +241,7 @@
             held = msgspec.convert(row.value, Claim)
             if held.token == claim.token and held.state == claims.OPEN:
                 closed = dataclasses.replace(claim, state=claims.NOT_RUN)
-                write = Write(key, row.version, closed)
+                write = ConditionalWrite(key, row.version, closed)
                 await self._retry_until_stored(lambda: self._write(write))
         finally:
             self.unrecorded -= 1
@@ -240,7 +249,7 @@
     async def _insert_not_run(self, key: str, claim: Claim) -> Row:
         """Inserts the claim as not run; returns that or the existing row."""
         closed = dataclasses.replace(claim, state=claims.NOT_RUN)
-        written = await self._write(Write(key, ABSENT, closed))
+        written = await self._write(ConditionalWrite(key, ABSENT, closed))
         if written.row is None:
             raise StoreError(
                 "the table service returned no row after an insert"
@@ -257,7 +266,7 @@
                 await anyio.sleep(pause)
                 pause = min(MAX_RETRY_PAUSE_S, pause * 2)
 
-    async def _write(self, write: Write) -> Written:
+    async def _write(self, write: ConditionalWrite) -> WriteResult:
         if len(self._queue) >= MAX_QUEUED:
             raise StoreError("too many writes are queued for the table service")
         queued = _QueuedWrite(write, anyio.Event())
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -57,7 +57,11 @@
 )
 from jasminerelay.schema.settings import Settings
 from jasminerelay.servicecalls import ServiceCalls
-from jasminerelay.store import InstanceListClient, Objects, Table
+from jasminerelay.store import (
+    InstanceListClient,
+    ObjectStoreClient,
+    TableClient,
+)
 from jasminerelay.watchdog import Watchdog
 
 _log = logging.getLogger("jasminerelay.daemon")
@@ -239,8 +243,10 @@
     def _wire_manifest(self) -> None:
         cfg = self.cfg
         timeout_s = cfg.timing.store_timeout_s
-        self._table_client = Table(self._client, cfg.platform, timeout_s)
-        self._object_store = Objects(self._client, cfg.platform, timeout_s)
+        self._table_client = TableClient(self._client, cfg.platform, timeout_s)
+        self._object_store = ObjectStoreClient(
+            self._client, cfg.platform, timeout_s
+        )
         self._instance_list = InstanceListClient(
             self._client, cfg.platform, timeout_s
         )
--- a/src/jasminerelay/manifestmanager.py
+++ b/src/jasminerelay/manifestmanager.py
@@ -20,7 +20,13 @@
 from jasminerelay.metrics import Counters, InvariantHandler
 from jasminerelay.schema.messages import ManifestPointer, ManifestReply
 from jasminerelay.schema.settings import Timing
-from jasminerelay.store import ABSENT, Objects, Row, Table, Write
+from jasminerelay.store import (
+    ABSENT,
+    ConditionalWrite,
+    ObjectStoreClient,
+    Row,
+    TableClient,
+)
 
 _log = logging.getLogger(__name__)
 
@@ -51,8 +57,8 @@
 
     def __init__(
         self,
-        table: Table,
-        objects: Objects,
+        table: TableClient,
+        objects: ObjectStoreClient,
         cfg: Timing,
         counters: Counters,
         invariants: InvariantHandler,
@@ -232,7 +238,7 @@
     async def _commit_row(self, digest: str, token: str, expect: int) -> int:
         tokens = await self._read_tokens(expect)
         value = _RowValue(digest, [*tokens, token][-MAX_WRITE_TOKENS:])
-        write = Write(ROW_KEY, expect, msgspec.to_builtins(value))
+        write = ConditionalWrite(ROW_KEY, expect, msgspec.to_builtins(value))
         while True:
             try:
                 written = (await self._table.commit([write]))[0]
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -30,7 +30,7 @@
 from jasminerelay.schema.manifest import Placement, Server
 from jasminerelay.schema.messages import Member
 from jasminerelay.schema.settings import Timing
-from jasminerelay.store import ABSENT, Row, Table, Write
+from jasminerelay.store import ABSENT, ConditionalWrite, Row, TableClient
 
 _log = logging.getLogger(__name__)
 
@@ -51,7 +51,7 @@
 class _TableLeaseStore:
     """The row of the lease in the table service."""
 
-    def __init__(self, table: Table):
+    def __init__(self, table: TableClient):
         self._table = table
 
     async def read(self) -> _VersionedLease:
@@ -62,7 +62,7 @@
         self, expect: int, row: LeaseRow, extra: Any = None
     ) -> tuple[bool, _VersionedLease]:
         """Writes the row if it has the expected version."""
-        writes = [Write(ROW_KEY, expect, row)]
+        writes = [ConditionalWrite(ROW_KEY, expect, row)]
         written = (await self._table.commit(writes))[0]
         return written.ok, _versioned_lease(written.row)
 
@@ -94,7 +94,7 @@
         own: Member,
         live: Callable[[], list[Member]],
         directory: Callable[[], Directory | None],
-        table: Table,
+        table: TableClient,
         client: HttpClient,
         cfg: Timing,
         counters: Counters,
--- a/src/jasminerelay/store.py
+++ b/src/jasminerelay/store.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Write:
+class ConditionalWrite:
     """A write that is conditional on the version of its row.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Written:
+class WriteResult:
     """The result of a conditional write.
 
     Attributes:
@@ -66,10 +66,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class _CommitReply:
-    results: list[Written]
+    results: list[WriteResult]
 
 
-class Table:
+class TableClient:
     """Client of the table service.
 
     Every method raises StoreError if the service does not respond. A write
@@ -91,7 +91,7 @@
             return None
         return _decode(reply, Row)
 
-    async def commit(self, writes: list[Write]) -> list[Written]:
+    async def commit(self, writes: list[ConditionalWrite]) -> list[WriteResult]:
         """Applies writes in one transaction, each if its version matches."""
         body = msgspec.json.encode({"writes": writes})
         url = f"{self._base}/v1/commit"
@@ -102,7 +102,7 @@
         return _decode(reply, _CommitReply).results
 
 
-class Objects:
+class ObjectStoreClient:
     """Client of the object store; raises StoreError if it does not respond."""
 
     def __init__(self, client: HttpClient, cfg: Platform, timeout_s: float):
