--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -171,7 +171,7 @@
 
     def entries(self) -> entrylist.EntryList:
         """Returns the instances that callers should use, best first."""
-        return entrylist.entry_list(
+        return entrylist.build_entry_list(
             self.membership.live(),
             self.cfg.zone,
             self.cfg.timing.entry_ttl_s,
--- a/src/jasminerelay/entrylist.py
+++ b/src/jasminerelay/entrylist.py
@@ -19,16 +19,16 @@
     ttl_s: float
 
 
-def entry_list(
+def build_entry_list(
     members: list[Member], zone: str, ttl_s: float, rng: random.Random
 ) -> EntryList:
     """Returns the entry list for a zone, its own instances first."""
-    ordered = in_order(members, zone, rng)
+    ordered = shuffled_by_zone(members, zone, rng)
     addresses = tuple(f"http://{member.callers}" for member in ordered)
     return EntryList(addresses, ttl_s)
 
 
-def in_order(
+def shuffled_by_zone(
     members: list[Member], zone: str, rng: random.Random
 ) -> list[Member]:
     """Returns the instances in random order, those of a zone first.
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -505,7 +505,7 @@
             # this instance is partitioned than all others have crashed, and a
             # list of this instance alone would direct every caller to it.
             members = membership.view
-        return entrylist.in_order(members, zone, self._rng)
+        return entrylist.shuffled_by_zone(members, zone, self._rng)
 
     def _requests_in_flight(self) -> int:
         return len(self._callers_port.server_state.tasks)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -309,7 +309,7 @@
         firsts = set()
         for seed in range(50):
             rng = random.Random(seed)
-            entries = entrylist.entry_list(members, "a", 5.0, rng)
+            entries = entrylist.build_entry_list(members, "a", 5.0, rng)
             self.assertEqual(len(entries.addresses), 6)
             firsts.add(entries.addresses[0])
         self.assertEqual(firsts, {f"http://10.0.0.{n}:80" for n in (0, 2, 4)})
