--- a/src/jasminerelay/headlimits.py
+++ b/src/jasminerelay/headlimits.py
@@ -41,7 +41,7 @@
 
     head_bytes: int
     head_timeout_s: float = HEAD_TIMEOUT_S
-    idle_timeout_s: float = ports.KEEPALIVE_S
+    idle_timeout_s: float = ports.KEEPALIVE_TIMEOUT_S
 
 
 def limited_protocol(
--- a/src/jasminerelay/ports.py
+++ b/src/jasminerelay/ports.py
@@ -7,7 +7,7 @@
 
 from jasminerelay import settings
 
-KEEPALIVE_S = 30
+KEEPALIVE_TIMEOUT_S = 30
 TICK_INTERVAL_S = 1.0
 
 
@@ -45,6 +45,6 @@
         "access_log": False,
         "lifespan": "off",
         "ws": "none",
-        "timeout_keep_alive": KEEPALIVE_S,
+        "timeout_keep_alive": KEEPALIVE_TIMEOUT_S,
     }
     return HttpServer(uvicorn.Config(app, **{**defaults, **options}))
