--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -503,7 +503,7 @@
                     # does.
                     self.drain()
         finally:
-            stopsignals.ignore_late()
+            stopsignals.ignore_further_signals()
 
     async def _poll_instance_list(self) -> None:
         while True:
--- a/src/jasminerelay/launch.py
+++ b/src/jasminerelay/launch.py
@@ -7,7 +7,7 @@
 
 def daemon() -> int:
     """Runs the daemon; returns its exit status."""
-    stopsignals.answer_early()
+    stopsignals.exit_on_early_signal()
     # Imported here, after the signal handlers are set, since loading the
     # daemon takes time in which a signal may arrive.
     from jasminerelay.daemon import main
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -583,7 +583,7 @@
                     elif self._planned_stop is None:
                         self.stop()
         finally:
-            stopsignals.ignore_late()
+            stopsignals.ignore_further_signals()
 
     def stop(self) -> None:
         """Starts the planned stop."""
--- a/src/jasminerelay/platform/start.py
+++ b/src/jasminerelay/platform/start.py
@@ -7,7 +7,7 @@
 
 def main() -> int:
     """Runs the instance; returns its exit status."""
-    stopsignals.answer_early()
+    stopsignals.exit_on_early_signal()
     # SIGHUP's default action would end the process. Settings that change
     # during the start are found at the next periodic reload.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/src/jasminerelay/stopsignals.py
+++ b/src/jasminerelay/stopsignals.py
@@ -15,7 +15,7 @@
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def answer_early() -> None:
+def exit_on_early_signal() -> None:
     """Makes the process exit with status 0 on a stop signal during startup.
 
     The handlers stay until the program installs its own.
@@ -24,7 +24,7 @@
         signal.signal(number, _exit_on_signal)
 
 
-def ignore_late() -> None:
+def ignore_further_signals() -> None:
     """Ignores all further signals, so that an almost complete stop finishes."""
     for number in (*_STOP_SIGNALS, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
