--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -23,7 +23,7 @@
     "Outcome": "outcome",
     "Permit": "broker",
     "PrefixIndex": "prefix",
-    "Problem": "errors",
+    "ConfigProblem": "errors",
     "Registry": "registry",
     "RelayError": "errors",
     "ResumePoint": "resume",
--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -24,8 +24,8 @@
     BackendError,
     BadRequestError,
     InvariantError,
-    LimitError,
-    NoRoomError,
+    NoCapacityError,
+    RateLimitError,
     RelayError,
 )
 from jasminerelay.modelrequests import CHAT_PATH, TEXT_PATH, ModelRequest
@@ -124,7 +124,7 @@
             self._placement.organisation, work
         )
         if loan is not None:
-            raise LimitError(
+            raise RateLimitError(
                 f"organisation {self._placement.organisation.name!r} has"
                 " reached its rate limit in tokens per second",
                 retry_s=loan.retry_s,
@@ -300,7 +300,7 @@
 
     def _retries_exhausted_error(self, error: AttemptError) -> RelayError:
         if not self.outcome.may_have_run:
-            return NoRoomError(
+            return NoCapacityError(
                 f"no backend server accepted the request: {error}", retry_s=1.0
             )
         ran = RAN_YES if self._delivered_tokens else RAN_UNKNOWN
@@ -333,7 +333,7 @@
                 self.outcome.failed()
         else:
             self.outcome.not_run()
-        if isinstance(exc, LimitError):
+        if isinstance(exc, RateLimitError):
             self._context.counters.incr("limit.refused")
             return
         if self.outcome.state is State.NOT_RUN:
@@ -399,7 +399,7 @@
             self._placement.kind.name,
             time.time() - waited,
         )
-        return NoRoomError(
+        return NoCapacityError(
             f"no backend server slot was granted: {refusal.reason}",
             retry_s=refusal.retry_s,
             ticket=ticket,
--- a/src/jasminerelay/callers.py
+++ b/src/jasminerelay/callers.py
@@ -17,12 +17,12 @@
 from jasminerelay.completions import Completions
 from jasminerelay.errors import (
     BadRequestError,
+    BodyTooLargeError,
     ForbiddenError,
+    InvalidCredentialsError,
     NotFoundError,
     NotReadyError,
     RelayError,
-    TooLargeError,
-    UnknownKeyError,
 )
 from jasminerelay.manifest import Directory
 from jasminerelay.modelrequests import CHAT_PATH, TEXT_PATH
@@ -278,14 +278,16 @@
         scheme, _, key = request.headers.get("authorization", "").partition(" ")
         organisation = directory.organisation_for_key(key.strip())
         if scheme.lower() != "bearer" or organisation is None:
-            raise UnknownKeyError("the API key belongs to no organisation")
+            raise InvalidCredentialsError(
+                "the API key belongs to no organisation"
+            )
         return directory, organisation
 
     async def _read_body(self, request: Request) -> bytes:
         limit = self._front.responses.bounds.max_body_bytes
         declared = request.headers.get("content-length", "0")
         if declared.isdigit() and int(declared) > limit:
-            raise TooLargeError(f"the request body exceeds {limit} bytes")
+            raise BodyTooLargeError(f"the request body exceeds {limit} bytes")
         parts: list[bytes] = []
         size = 0
         try:
@@ -293,7 +295,7 @@
                 async for part in request.stream():
                     size += len(part)
                     if size > limit:
-                        raise TooLargeError(
+                        raise BodyTooLargeError(
                             f"the request body exceeds {limit} bytes"
                         )
                     parts.append(part)
--- a/src/jasminerelay/checking.py
+++ b/src/jasminerelay/checking.py
@@ -8,7 +8,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from jasminerelay.errors import Problem
+from jasminerelay.errors import ConfigProblem
 
 if TYPE_CHECKING:
     import jsonschema
@@ -24,18 +24,20 @@
     return json.loads((_SCHEMA_DIR / f"{name}.json").read_text())
 
 
-def parse_toml(text: str, source: str) -> Result[dict[str, Any], list[Problem]]:
+def parse_toml(
+    text: str, source: str
+) -> Result[dict[str, Any], list[ConfigProblem]]:
     """Parses TOML; a syntax error becomes a problem with its line number."""
     try:
         return Ok(tomllib.loads(text))
     except (tomllib.TOMLDecodeError, RecursionError) as exc:
-        problem = Problem(
+        problem = ConfigProblem(
             source, "(file)", str(exc), "TOML", "correct the syntax there"
         )
         return Err([problem])
 
 
-def check(raw: Any, schema_name: str, source: str) -> list[Problem]:
+def check(raw: Any, schema_name: str, source: str) -> list[ConfigProblem]:
     """Returns all schema violations of a parsed file, sorted by key."""
     # Imported lazily: the import takes a third of a daemon's start time, and
     # the platform's settings are validated without jsonschema.
@@ -60,7 +62,7 @@
         return None
 
 
-def _problem(fault: "jsonschema.ValidationError", source: str) -> Problem:
+def _problem(fault: "jsonschema.ValidationError", source: str) -> ConfigProblem:
     key = fault.json_path.removeprefix("$").lstrip(".") or "(file)"
     found = json.dumps(fault.instance, default=str)
     if _is_secret(key):
@@ -74,7 +76,7 @@
                 for name in fault.validator_value
                 if name not in fault.instance
             ]
-            return Problem(
+            return ConfigProblem(
                 source,
                 key,
                 "no " + ", ".join(missing),
@@ -84,7 +86,7 @@
         case "additionalProperties":
             known = fault.schema.get("properties", {})
             unknown = [name for name in fault.instance if name not in known]
-            return Problem(
+            return ConfigProblem(
                 source,
                 key,
                 "unknown key " + ", ".join(unknown),
@@ -94,7 +96,7 @@
         case _:
             expected = f"{fault.validator} {json.dumps(fault.validator_value)}"
             described = fault.schema.get("description", "change the value")
-            return Problem(source, key, found, expected, described)
+            return ConfigProblem(source, key, found, expected, described)
 
 
 def _is_secret(key: str) -> bool:
--- a/src/jasminerelay/claims.py
+++ b/src/jasminerelay/claims.py
@@ -13,8 +13,8 @@
 
 from jasminerelay.errors import (
     RAN_UNKNOWN,
-    ConflictError,
-    KeyReusedError,
+    IdempotencyConflictError,
+    IdempotencyKeyReusedError,
 )
 
 OPEN = "open"
@@ -84,17 +84,17 @@
         ConflictError: if its outcome is open or unknown.
     """
     if row.digest != digest:
-        raise KeyReusedError(
+        raise IdempotencyKeyReusedError(
             "this Idempotency-Key was used for another request"
         )
     if row.state == OPEN and now - row.at <= max_call_s:
-        raise ConflictError(
+        raise IdempotencyConflictError(
             "a request with this key is in progress",
             ran=RAN_UNKNOWN,
             retry_s=OPEN_RETRY_S,
         )
     if row.state in (OPEN, UNKNOWN):
-        raise ConflictError(
+        raise IdempotencyConflictError(
             "whether the request with this key ran is unknown",
             ran=RAN_UNKNOWN,
             remedy="Look the result up at the service before using a new key.",
--- a/src/jasminerelay/completions.py
+++ b/src/jasminerelay/completions.py
@@ -2,7 +2,7 @@
 
 from jasminerelay.answercontext import AnswerContext, RequestPolicy
 from jasminerelay.answers import Answer
-from jasminerelay.errors import ResumeGoneError
+from jasminerelay.errors import ResumeUnavailableError
 from jasminerelay.manifest import Directory
 from jasminerelay.modelrequests import ModelRequest
 from jasminerelay.resume import ResumePoint
@@ -34,7 +34,7 @@
         """
         server = directory.servers.get(point.server)
         if server is None or not server.resume:
-            raise ResumeGoneError(
+            raise ResumeUnavailableError(
                 "the stream's backend server was removed or cannot resume"
             )
         return ResumedAnswer(self._context, request, placement, point, server)
--- a/src/jasminerelay/errors.py
+++ b/src/jasminerelay/errors.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Problem:
+class ConfigProblem:
     """One validation error in a settings file or manifest.
 
     Attributes:
@@ -70,7 +70,7 @@
         self.retry_s = retry_s
 
 
-class CheckError(RelayError):
+class InvalidConfigError(RelayError):
     """A settings file or a manifest is invalid; lists every error in it."""
 
     status = 422
@@ -78,7 +78,7 @@
     kind = "invalid_request_error"
     remedy = "Correct every listed key and try again."
 
-    def __init__(self, problems: list[Problem]):
+    def __init__(self, problems: list[ConfigProblem]):
         super().__init__("\n".join(str(problem) for problem in problems))
         self.problems = problems
 
@@ -92,7 +92,7 @@
     remedy = "Correct the request body as the message describes."
 
 
-class UnknownKeyError(RelayError):
+class InvalidCredentialsError(RelayError):
     """The caller's key belongs to no organisation."""
 
     status = 401
@@ -129,7 +129,7 @@
     remedy = "See GET /v1/models, or the manifest, for the valid names."
 
 
-class ConflictError(RelayError):
+class IdempotencyConflictError(RelayError):
     """A request with the same idempotency key is open or of unknown outcome."""
 
     status = 409
@@ -138,7 +138,7 @@
     remedy = "Wait for the first request to end, then retry with the same key."
 
 
-class ResumeGoneError(RelayError):
+class ResumeUnavailableError(RelayError):
     """The backend server no longer holds the interrupted stream."""
 
     status = 409
@@ -147,7 +147,7 @@
     remedy = "Send the request again without Last-Event-ID."
 
 
-class TooLargeError(RelayError):
+class BodyTooLargeError(RelayError):
     """The request body exceeds the size limit."""
 
     status = 413
@@ -156,7 +156,7 @@
     remedy = "Send a smaller body."
 
 
-class TooSlowError(RelayError):
+class RequestTimeoutError(RelayError):
     """The caller paused for too long while it sent its request."""
 
     status = 408
@@ -165,7 +165,7 @@
     remedy = "Send the request again without pauses."
 
 
-class KeyReusedError(RelayError):
+class IdempotencyKeyReusedError(RelayError):
     """An idempotency key was used again with a different request."""
 
     status = 422
@@ -174,7 +174,7 @@
     remedy = "Use a new Idempotency-Key for a new request."
 
 
-class LimitError(RelayError):
+class RateLimitError(RelayError):
     """The organisation's rate limit is reached."""
 
     status = 429
@@ -183,7 +183,7 @@
     remedy = "Wait for the number of seconds in Retry-After, then retry."
 
 
-class NoRoomError(RelayError):
+class NoCapacityError(RelayError):
     """The request cannot be served in time, or the queue is full."""
 
     status = 503
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -8,7 +8,7 @@
 from jasminerelay import fingerprint
 from jasminerelay.attempt import OK, Attempt, ForwardingContext, RequestProgress
 from jasminerelay.catalog import BackendServer, Call, RepeatPolicy
-from jasminerelay.errors import CrashingRequestError, NoRoomError
+from jasminerelay.errors import CrashingRequestError, NoCapacityError
 from jasminerelay.exchange import (
     Delivered,
     Failed,
@@ -74,7 +74,7 @@
                 if not crashes.is_blocked(self._call):
                     with crashes.cancel_if_blocked(self._call):
                         reservation = await self._reserve()
-            except NoRoomError as exc:
+            except NoCapacityError as exc:
                 await self._reject_unplaced(exc)
                 return
             if reservation is None:
@@ -226,7 +226,7 @@
         self._kit.counters.incr("retry.no_budget")
         return False
 
-    async def _reject_unplaced(self, exc: NoRoomError) -> None:
+    async def _reject_unplaced(self, exc: NoCapacityError) -> None:
         self._reason = exc.message
         if self._sink.started or self._progress.maybe_ran or self._failure:
             await self.give_up()
--- a/src/jasminerelay/manifest.py
+++ b/src/jasminerelay/manifest.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from jasminerelay import checking
-from jasminerelay.errors import ForbiddenError, NotFoundError, Problem
+from jasminerelay.errors import ConfigProblem, ForbiddenError, NotFoundError
 from jasminerelay.schema.manifest import (
     Call,
     Manifest,
@@ -60,7 +60,7 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def parse(text: str, source: str) -> Result["Directory", list[Problem]]:
+def parse(text: str, source: str) -> Result["Directory", list[ConfigProblem]]:
     """Parses and validates a manifest; on failure returns all its errors."""
     parsed = checking.parse_toml(text, source)
     if isinstance(parsed, Err):
@@ -235,8 +235,8 @@
     return not names or organisation.name in names
 
 
-def _cross_check(manifest: Manifest, source: str) -> list[Problem]:
-    problems: list[Problem] = []
+def _cross_check(manifest: Manifest, source: str) -> list[ConfigProblem]:
+    problems: list[ConfigProblem] = []
     groups = [*manifest.pools, *manifest.services]
     servers = [server for group in groups for server in group.servers]
     unique: list[tuple[str, Iterable[str]]] = [
@@ -262,7 +262,7 @@
     for key, names in unique:
         counted = collections.Counter(names)
         problems += [
-            Problem(
+            ConfigProblem(
                 source, key, f"{name!r} twice", "unique names", "rename one"
             )
             for name, count in counted.items()
@@ -274,7 +274,7 @@
             split_address(server.address)
         except ValueError as exc:
             problems.append(
-                Problem(
+                ConfigProblem(
                     source,
                     f"servers.{server.name}.address",
                     f"{server.address} ({exc})",
@@ -285,7 +285,7 @@
     problems += _check_leave_free(manifest, source)
     if sum(item.floor_share for item in manifest.classes) > 0.5:
         problems.append(
-            Problem(
+            ConfigProblem(
                 source,
                 "classes.floor_share",
                 "more than 0.5 in all",
@@ -296,7 +296,7 @@
     return problems
 
 
-def _check_leave_free(manifest: Manifest, source: str) -> list[Problem]:
+def _check_leave_free(manifest: Manifest, source: str) -> list[ConfigProblem]:
     """Finds classes that could use slots which a higher rank leaves free."""
     problems = []
     for item in sorted(manifest.classes, key=lambda item: item.rank):
@@ -308,7 +308,7 @@
         minimum = max(higher, default=0.0)
         if item.leave_free < minimum:
             problems.append(
-                Problem(
+                ConfigProblem(
                     source,
                     f"classes.{item.name}.leave_free",
                     str(item.leave_free),
@@ -319,18 +319,18 @@
     return problems
 
 
-def _check_references(manifest: Manifest, source: str) -> list[Problem]:
+def _check_references(manifest: Manifest, source: str) -> list[ConfigProblem]:
     classes = {item.name for item in manifest.classes}
     organisations = {item.name for item in manifest.organisations}
     models = {model for pool in manifest.pools for model in pool.models}
     kinds = {item.name for item in manifest.request_types}
-    problems: list[Problem] = []
+    problems: list[ConfigProblem] = []
 
     def require(key: str, name: str, known: set[str]) -> None:
         if name not in known:
             valid = ", ".join(sorted(known)[:10]) or "none declared"
             problems.append(
-                Problem(
+                ConfigProblem(
                     source,
                     key,
                     repr(name),
--- a/src/jasminerelay/manifestmanager.py
+++ b/src/jasminerelay/manifestmanager.py
@@ -12,7 +12,7 @@
 from jasminerelay.adoptedmanifest import AdoptedManifest, read_version
 from jasminerelay.errors import (
     RAN_UNKNOWN,
-    CheckError,
+    InvalidConfigError,
     InvariantError,
     ManifestConflictError,
     StoreError,
@@ -136,7 +136,7 @@
             manifest.parse, text, "manifest"
         )
         if parsed.is_err():
-            raise CheckError(parsed.unwrap_err())
+            raise InvalidConfigError(parsed.unwrap_err())
         digest = manifest.digest_of(text)
         token = secrets.token_hex(16)
         expect = self.adopted.pointer.version if over is None else over
--- a/src/jasminerelay/operators.py
+++ b/src/jasminerelay/operators.py
@@ -15,9 +15,9 @@
 from jasminerelay import burn, entrylist
 from jasminerelay.errors import (
     BadRequestError,
+    InvalidCredentialsError,
     NotReadyError,
     RelayError,
-    UnknownKeyError,
 )
 from jasminerelay.manifestmanager import ManifestManager
 from jasminerelay.metrics import Counters
@@ -164,7 +164,7 @@
         )
         if scheme.lower() != "bearer" or not valid:
             self._context.counters.incr("operator.rejected")
-            raise UnknownKeyError(
+            raise InvalidCredentialsError(
                 "invalid operators' token",
                 remedy="Send the operator_token of the settings.",
             )
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -17,7 +17,7 @@
 from jasminerelay.catalog import Call
 from jasminerelay.cells import Cell
 from jasminerelay.dispatcher import Dispatcher
-from jasminerelay.errors import NoRoomError
+from jasminerelay.errors import NoCapacityError
 from jasminerelay.metrics import Counters
 from jasminerelay.placementqueue import PlacementQueue, Reservation
 from jasminerelay.placewords import (
@@ -306,7 +306,7 @@
             answer = pending.answer
             if answer.state == REFUSED:
                 self._counters.incr("place.refused")
-                raise NoRoomError(answer.why, retry_s=answer.retry_ms / MS)
+                raise NoCapacityError(answer.why, retry_s=answer.retry_ms / MS)
             if answer.state == PLACED:
                 return self._reserve(pending, answer)
             if answer.state == ELSEWHERE and self._redirect(
--- a/src/jasminerelay/placementqueue.py
+++ b/src/jasminerelay/placementqueue.py
@@ -11,7 +11,7 @@
 from jasminerelay import admission
 from jasminerelay.admission import WaitEstimate
 from jasminerelay.catalog import Call
-from jasminerelay.errors import NoRoomError
+from jasminerelay.errors import NoCapacityError
 from jasminerelay.placing import PlacementDecision, Wait
 from jasminerelay.workload import InFlightRequest
 
@@ -66,7 +66,7 @@
     first_s: float = 0.0
     settled: Callable[["QueueEntry"], None] = lambda entry: None
     reservation: Reservation | None = None
-    refused: NoRoomError | None = None
+    refused: NoCapacityError | None = None
 
     def sort_key(self, now: float) -> tuple[int, int, bool, float]:
         """Returns its sort key in the queue; the lowest is placed first.
@@ -248,7 +248,7 @@
         self,
         item: QueueEntry,
         reservation: Reservation | None = None,
-        refused: NoRoomError | None = None,
+        refused: NoCapacityError | None = None,
     ) -> None:
         item.reservation = reservation
         item.refused = refused
@@ -256,9 +256,9 @@
         item.settled(item)
 
 
-def _refusal(call: Call, estimate: WaitEstimate) -> NoRoomError:
+def _refusal(call: Call, estimate: WaitEstimate) -> NoCapacityError:
     spread = (hash(call.id) % 1000) / 1000
-    return NoRoomError(
+    return NoCapacityError(
         f"no capacity in time: {estimate.queue_delay_s:.2f} s queueing delay,"
         f" {estimate.service_s:.2f} s service time,"
         f" {estimate.remaining_s:.2f} s left",
--- a/src/jasminerelay/platform/bootfile.py
+++ b/src/jasminerelay/platform/bootfile.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from jasminerelay import checking, settings
-from jasminerelay.errors import Problem
+from jasminerelay.errors import ConfigProblem
 
 USAGE_DUTY = "usage_report"
 SERVERS_DUTY = "autoscaler"
@@ -135,7 +135,7 @@
     first_start: bool = False
 
 
-def parse(text: str, source: str) -> Result[BootSettings, list[Problem]]:
+def parse(text: str, source: str) -> Result[BootSettings, list[ConfigProblem]]:
     """Parses and validates the settings.
 
     Unknown fields are ignored, since the platform adds new ones.
@@ -163,7 +163,7 @@
     return Err(problems) if problems else Ok(_boot(raw))
 
 
-def _check_duties(raw: _BootFile, source: str) -> list[Problem]:
+def _check_duties(raw: _BootFile, source: str) -> list[ConfigProblem]:
     """Returns the faults of the settings that concern the duties."""
     if raw.duty_calls is None:
         return []
@@ -175,7 +175,7 @@
         "bounds.usageLateS": bounds.usage_late_s,
     }
     return [
-        Problem(
+        ConfigProblem(
             source,
             key,
             str(value),
@@ -187,7 +187,7 @@
     ]
 
 
-def load(path: pathlib.Path) -> Result[BootSettings, list[Problem]]:
+def load(path: pathlib.Path) -> Result[BootSettings, list[ConfigProblem]]:
     """Reads and checks the settings file."""
     try:
         text = path.read_text()
@@ -196,8 +196,8 @@
     return parse(text, str(path))
 
 
-def _problem(source: str, found: str) -> Problem:
-    return Problem(
+def _problem(source: str, found: str) -> ConfigProblem:
+    return ConfigProblem(
         source,
         "(platform settings)",
         found,
--- a/src/jasminerelay/platform/deployfile.py
+++ b/src/jasminerelay/platform/deployfile.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from jasminerelay import checking
-from jasminerelay.errors import Problem
+from jasminerelay.errors import ConfigProblem
 
 CALLERS_SERVICE = "edge"
 ENTRIES_SERVICE = "registry"
@@ -34,7 +34,7 @@
     roles: dict[str, _Role]
 
 
-def load(path: pathlib.Path) -> Result[list[str], list[Problem]]:
+def load(path: pathlib.Path) -> Result[list[str], list[ConfigProblem]]:
     """Reads and checks a deploy file; returns the names of its roles.
 
     Paths of programs and templates are resolved against the parent of the
@@ -56,7 +56,9 @@
     return Err(problems) if problems else Ok(sorted(raw.roles))
 
 
-def _check(raw: _DeployFile, source: str, root: pathlib.Path) -> list[Problem]:
+def _check(
+    raw: _DeployFile, source: str, root: pathlib.Path
+) -> list[ConfigProblem]:
     problems = []
     served = [service for role in raw.roles.values() for service in role.serves]
     for service in (CALLERS_SERVICE, ENTRIES_SERVICE):
@@ -71,7 +73,7 @@
     return problems
 
 
-def _check_amount(role: _Role, source: str, key: str) -> list[Problem]:
+def _check_amount(role: _Role, source: str, key: str) -> list[ConfigProblem]:
     if (role.share is None) == (role.count is None):
         return [
             _problem(source, key, "both or neither", "either share or count")
@@ -87,7 +89,7 @@
 
 def _check_files(
     role: _Role, source: str, key: str, root: pathlib.Path
-) -> list[Problem]:
+) -> list[ConfigProblem]:
     paths = [part for part in role.run.split() if part.endswith(".py")]
     if role.template is not None:
         paths.append(role.template)
@@ -98,7 +100,7 @@
     ]
 
 
-def _check_names(role: _Role, source: str, key: str) -> list[Problem]:
+def _check_names(role: _Role, source: str, key: str) -> list[ConfigProblem]:
     problems = []
     if role.metrics is not None and not _METRICS.fullmatch(role.metrics):
         key = f"{key}.metrics"
@@ -111,8 +113,8 @@
     return problems
 
 
-def _problem(source: str, key: str, found: str, expected: str) -> Problem:
-    return Problem(
+def _problem(source: str, key: str, found: str, expected: str) -> ConfigProblem:
+    return ConfigProblem(
         source,
         key,
         found,
--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -11,12 +11,12 @@
 from jasminerelay.catalog import Call, Catalog, RequestLimits, Route
 from jasminerelay.errors import (
     BadRequestError,
+    BodyTooLargeError,
+    InvalidCredentialsError,
     NotFoundError,
     NotReadyError,
     RelayError,
-    TooLargeError,
-    TooSlowError,
-    UnknownKeyError,
+    RequestTimeoutError,
 )
 from jasminerelay.eventlog import EventLog
 from jasminerelay.forwarding import RequestForwarder
@@ -111,7 +111,7 @@
             with anyio.move_on_after(bounds.idle_timeout_s) as scope:
                 message = await receive()
             if scope.cancelled_caught:
-                raise TooSlowError(
+                raise RequestTimeoutError(
                     f"no data received for {bounds.idle_timeout_s:g} s"
                 )
             if message["type"] == "http.disconnect":
@@ -119,7 +119,7 @@
             parts.append(message.get("body", b""))
             size += len(parts[-1])
             if size > bounds.body_bytes:
-                raise TooLargeError(
+                raise BodyTooLargeError(
                     f"the body is larger than {bounds.body_bytes} bytes"
                 )
             if not message.get("more_body"):
@@ -142,7 +142,9 @@
             holder = catalog.key_holders.get(headers.bearer_key(by_name) or "")
             if holder is None:
                 self._require_current("unknown API key")
-                raise UnknownKeyError("the key belongs to no organisation")
+                raise InvalidCredentialsError(
+                    "the key belongs to no organisation"
+                )
         rank = route.rank
         if holder is not None and holder.rank is not None:
             rank = holder.rank
--- a/src/jasminerelay/responses.py
+++ b/src/jasminerelay/responses.py
@@ -11,7 +11,7 @@
 from starlette.responses import JSONResponse, Response
 
 from jasminerelay.answers import Answer, AnswerEvent
-from jasminerelay.errors import NoRoomError, RelayError
+from jasminerelay.errors import NoCapacityError, RelayError
 from jasminerelay.metrics import Counters
 from jasminerelay.modelrequests import CHAT_PATH, ModelRequest
 from jasminerelay.schema.settings import Bounds
@@ -30,7 +30,7 @@
 
     def __enter__(self) -> None:
         if self.count >= self._limit:
-            raise NoRoomError(
+            raise NoCapacityError(
                 "this instance has too many requests in progress", retry_s=1.0
             )
         self.count += 1
--- a/src/jasminerelay/resumedanswers.py
+++ b/src/jasminerelay/resumedanswers.py
@@ -7,7 +7,7 @@
 from jasminerelay.answercontext import AnswerContext, AnswerEvent, RequestPolicy
 from jasminerelay.answers import Answer
 from jasminerelay.backends import AttemptError, EngineAttempt
-from jasminerelay.errors import RAN_YES, BackendError, ResumeGoneError
+from jasminerelay.errors import RAN_YES, BackendError, ResumeUnavailableError
 from jasminerelay.modelrequests import ModelRequest
 from jasminerelay.resume import ResumePoint
 from jasminerelay.schema.manifest import Server
@@ -68,7 +68,7 @@
                 raise BackendError(
                     f"the resumed stream broke: {exc}", ran=RAN_YES
                 ) from exc
-            raise ResumeGoneError(
+            raise ResumeUnavailableError(
                 f"the stream cannot be resumed: {exc}", ran=RAN_YES
             ) from exc
         finally:
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -14,7 +14,7 @@
     RAN_UNKNOWN,
     BackendError,
     InvariantError,
-    NoRoomError,
+    NoCapacityError,
     RelayError,
 )
 from jasminerelay.httpclient import HttpRequest, HttpResponse
@@ -283,7 +283,7 @@
                 raise BackendError(
                     f"the service did not answer: {error}", ran=RAN_UNKNOWN
                 )
-            raise NoRoomError(
+            raise NoCapacityError(
                 f"no backend server accepted the call: {error}", retry_s=1.0
             )
 
@@ -309,7 +309,7 @@
                 retry_s=refusal.retry_s,
             )
         waited = time.monotonic() - started + request.waited_s
-        return NoRoomError(
+        return NoCapacityError(
             f"no backend server slot was granted: {refusal.reason}",
             retry_s=refusal.retry_s,
             ticket=self._ticket(
--- a/src/jasminerelay/settings.py
+++ b/src/jasminerelay/settings.py
@@ -6,11 +6,11 @@
 from result import Err, Ok, Result
 
 from jasminerelay import checking
-from jasminerelay.errors import Problem
+from jasminerelay.errors import ConfigProblem
 from jasminerelay.schema.settings import Settings
 
 
-def parse(text: str, source: str) -> Result[Settings, list[Problem]]:
+def parse(text: str, source: str) -> Result[Settings, list[ConfigProblem]]:
     """Parses and validates settings; on failure returns all their errors."""
     parsed = checking.parse_toml(text, source)
     if isinstance(parsed, Err):
@@ -23,12 +23,12 @@
     return Err(problems) if problems else Ok(settings)
 
 
-def load(path: pathlib.Path) -> Result[Settings, list[Problem]]:
+def load(path: pathlib.Path) -> Result[Settings, list[ConfigProblem]]:
     """Reads, parses and validates a settings file."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as exc:
-        problem = Problem(
+        problem = ConfigProblem(
             str(path),
             "(file)",
             str(exc),
@@ -54,12 +54,12 @@
     return host, number
 
 
-def _cross_check(settings: Settings, source: str) -> list[Problem]:
+def _cross_check(settings: Settings, source: str) -> list[ConfigProblem]:
     problems = []
     tls_parts = [settings.tls.cert, settings.tls.key, settings.tls.ca]
     if any(tls_parts) and not all(tls_parts):
         problems.append(
-            Problem(
+            ConfigProblem(
                 source,
                 "tls",
                 "some of cert, key, ca",
@@ -73,7 +73,7 @@
             host, _ = split_address(address)
         except ValueError as exc:
             problems.append(
-                Problem(
+                ConfigProblem(
                     source,
                     f"listen.{name}",
                     f"{address} ({exc})",
@@ -85,7 +85,7 @@
         exposed = not ipaddress.ip_address(host).is_loopback
         if name != "callers" and exposed and not all(tls_parts):
             problems.append(
-                Problem(
+                ConfigProblem(
                     source,
                     f"listen.{name}",
                     address,
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -14,7 +14,7 @@
 from jasminerelay.catalog import Call, Prompt, PromptPart
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.enginemodel import SLOT_SHARE
-from jasminerelay.errors import NoRoomError
+from jasminerelay.errors import NoCapacityError
 from jasminerelay.followerroles import (
     FOLLOWER_SILENCE_S,
     FOLLOWERS_PER_ZONE,
@@ -635,7 +635,7 @@
         now = time.monotonic()
         brief = next(prompts(1))
         brief = call("h", arrived=now, ends=now + 0.1, prompt=brief.prompt)
-        with self.assertRaises(NoRoomError) as caught:
+        with self.assertRaises(NoCapacityError) as caught:
             await node.placement_client.reserve_server(brief, frozenset())
         self.assertIsNotNone(caught.exception.retry_s)
 
@@ -673,7 +673,7 @@
 async def _reserve_if_possible(
     node: Node, item: Call, reservations: list
 ) -> None:
-    with contextlib.suppress(NoRoomError):
+    with contextlib.suppress(NoCapacityError):
         await _reserve(node, item, reservations)
 
 
--- a/tests/test_ownersmodel.py
+++ b/tests/test_ownersmodel.py
@@ -15,7 +15,7 @@
 
 from jasminerelay import cells, owning
 from jasminerelay.catalog import Call
-from jasminerelay.errors import NoRoomError
+from jasminerelay.errors import NoCapacityError
 from jasminerelay.placementclient import CHECK_INTERVAL_S
 from jasminerelay.placementqueue import Reservation
 from tests.test_cells import SERVICE, Node, Site, prompts
@@ -133,7 +133,7 @@
     async def _run_request(self, request: _Request) -> None:
         timeout_s = self._rng.choice((0.05, 60.0))
         with anyio.move_on_after(timeout_s) as scope:
-            with contextlib.suppress(NoRoomError):
+            with contextlib.suppress(NoCapacityError):
                 request.reservation = (
                     await request.node.placement_client.reserve_server(
                         request.call, frozenset()
--- a/tests/test_waitingroom.py
+++ b/tests/test_waitingroom.py
@@ -10,7 +10,7 @@
 from jasminerelay.catalog import (
     Call,
 )
-from jasminerelay.errors import NoRoomError
+from jasminerelay.errors import NoCapacityError
 from jasminerelay.placementqueue import PlacementQueue, QueueEntry
 from jasminerelay.placing import PlacementDecision, Wait
 from jasminerelay.workload import (
@@ -98,7 +98,7 @@
 
     async def test_late_request_is_refused_at_once(self) -> None:
         queue = self.queue([], too_late=True)
-        with self.assertRaises(NoRoomError) as caught:
+        with self.assertRaises(NoCapacityError) as caught:
             await queue.reserve_server(call(), frozenset())
         self.assertGreater(caught.exception.retry_s, 0)
 
