--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -385,8 +385,8 @@
 
 
 def _burn_memory(buckets: int) -> float:
-    def make() -> burn.Book:
-        book = burn.Book()
+    def make() -> burn.BurnRecorder:
+        book = burn.BurnRecorder()
         for number in range(buckets):
             sample = burn.Sample(
                 f"class-{number % 5}", "completed", True, 0.5, 10, {}
--- a/src/jasminerelay/__init__.py
+++ b/src/jasminerelay/__init__.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 _MODULES = {
-    "Book": "burn",
+    "BurnRecorder": "burn",
     "BorrowedBalance": "limits",
     "Broker": "broker",
     "TokenBucket": "limits",
@@ -36,7 +36,7 @@
     "State": "outcome",
     "Stragglers": "stragglers",
     "Tier": "fairqueue",
-    "Totals": "burn",
+    "WindowTotals": "burn",
     "QueuedRequest": "fairqueue",
     "Workload": "workload",
     "block_hashes": "prefix",
--- a/src/jasminerelay/answercontext.py
+++ b/src/jasminerelay/answercontext.py
@@ -75,7 +75,7 @@
     permit_client: PermitClient
     engines: EngineClient
     signer: Signer
-    burn_recorder: burn.Book
+    burn_recorder: burn.BurnRecorder
     counters: Counters
     invariants: InvariantHandler
     timing: Timing
--- a/src/jasminerelay/burn.py
+++ b/src/jasminerelay/burn.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Totals:
+class WindowTotals:
     """Sums over a window, serializable and mergeable.
 
     Attributes:
@@ -117,7 +117,7 @@
             )
 
 
-class Book:
+class BurnRecorder:
     """Sums an instance's finished requests by class in one-minute buckets."""
 
     def __init__(self) -> None:
@@ -137,7 +137,7 @@
             self._buckets[key] = _Bucket()
         self._buckets[key].add(sample)
 
-    def totals(self, window_s: float, now: float) -> dict[str, Totals]:
+    def totals(self, window_s: float, now: float) -> dict[str, WindowTotals]:
         """Returns the sums over the last window by class."""
         oldest = int((now - window_s) // BUCKET_S)
         names = sorted({name for name, _ in self._buckets})
@@ -159,11 +159,11 @@
     rank: int
     goal: float
     target_s: float
-    short: Totals
-    long: Totals
+    short: WindowTotals
+    long: WindowTotals
 
 
-def merge(parts: Iterable[Totals]) -> Totals:
+def merge(parts: Iterable[WindowTotals]) -> WindowTotals:
     """Merges the totals of several buckets or instances."""
     ended: collections.Counter[str] = collections.Counter()
     wasted: collections.Counter[str] = collections.Counter()
@@ -175,12 +175,14 @@
         met += part.met
         useful += part.useful_tokens
         histogram.add(_decode(part.histogram))
-    return Totals(dict(ended), met, useful, dict(wasted), _encode(histogram))
+    return WindowTotals(
+        dict(ended), met, useful, dict(wasted), _encode(histogram)
+    )
 
 
 def report(
     classes: Iterable[ServiceClass],
-    instances: Iterable[dict[str, dict[str, Totals]]],
+    instances: Iterable[dict[str, dict[str, WindowTotals]]],
 ) -> list[ReportRow]:
     """Returns the rows of the report, ordered by rank.
 
@@ -213,9 +215,9 @@
     return rows
 
 
-def _sum(buckets: Iterable[_Bucket]) -> Totals:
+def _sum(buckets: Iterable[_Bucket]) -> WindowTotals:
     return merge(
-        Totals(
+        WindowTotals(
             dict(bucket.ended),
             bucket.met,
             bucket.useful_tokens,
--- a/src/jasminerelay/cli.py
+++ b/src/jasminerelay/cli.py
@@ -12,7 +12,7 @@
 import tabulate
 
 from jasminerelay import burn, burnpage, localcommands, manifest
-from jasminerelay.burn import ReportRow, Totals
+from jasminerelay.burn import ReportRow, WindowTotals
 from jasminerelay.operatorclient import (
     EXIT_PARTIAL,
     EXIT_USAGE,
@@ -62,7 +62,7 @@
 @dataclasses.dataclass(frozen=True)
 class _InstanceBurn:
     instance: str
-    windows: dict[str, dict[str, Totals]]
+    windows: dict[str, dict[str, WindowTotals]]
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -120,7 +120,7 @@
         self._drain_requested = anyio.Event()
         self._drain_started = 0.0
         self._has_instance_list = False
-        self.burn_recorder = burn.Book()
+        self.burn_recorder = burn.BurnRecorder()
         self._wire_membership()
         self._wire_manifest()
         self._wire_permits()
--- a/src/jasminerelay/operators.py
+++ b/src/jasminerelay/operators.py
@@ -47,7 +47,7 @@
     status: Callable[[], dict[str, Any]]
     entries: Callable[[], entrylist.EntryList]
     drain: Callable[[], None]
-    burn_recorder: burn.Book
+    burn_recorder: burn.BurnRecorder
     counters: Counters
     instance: str
 
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -85,7 +85,7 @@
         desk: PermitClient,
         services: ServiceClient,
         claim_desk: ClaimStore,
-        book: burn.Book,
+        book: burn.BurnRecorder,
         counters: Counters,
         invariants: InvariantHandler,
         on_leaving: Callable[[str], None],
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -63,7 +63,7 @@
             desk,
             None,
             None,
-            burn.Book(),
+            burn.BurnRecorder(),
             self.counters,
             self.invariants,
             Timing(),
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -322,7 +322,7 @@
         return burn.Sample("chat", ended, met, 0.5, tokens, wasted)
 
     def test_merged_over_instances(self) -> None:
-        books = [burn.Book(), burn.Book()]
+        books = [burn.BurnRecorder(), burn.BurnRecorder()]
         books[0].add(self.sample(met=True), 1000.0)
         books[1].add(self.sample(met=False, redone=5), 1000.0)
         answers = [
@@ -342,7 +342,7 @@
         self.assertAlmostEqual(row.long.latency_s(50), 0.5, delta=0.01)
 
     def test_windows(self) -> None:
-        book = burn.Book()
+        book = burn.BurnRecorder()
         book.add(self.sample(met=False), 0.0)
         book.add(self.sample(met=True), 1800.0)
         self.assertEqual(
@@ -353,7 +353,7 @@
         )
 
     def test_state_is_bounded(self) -> None:
-        book = burn.Book()
+        book = burn.BurnRecorder()
         for minute in range(500):
             book.add(self.sample(met=True), minute * 60.0)
         self.assertLessEqual(len(book._buckets), 61)
