--- a/bench/load.py
+++ b/bench/load.py
@@ -9,7 +9,7 @@
 import httpcore
 
 from bench.mix import PlannedRequest, User
-from standins.engine import chat_prompt, whole_answer
+from standins.engine import chat_prompt, expected_answer
 
 MAX_RETRIES = 3
 MAX_RESUMES = 4
@@ -191,7 +191,7 @@
                         result.gaps.append(now - last_token_at)
                     last_token_at = now
                     result.text += token
-        expected = whole_answer(chat_prompt(body["messages"]))
+        expected = expected_answer(chat_prompt(body["messages"]))
         result.whole = done and result.text == expected
         result.wrong = done and result.text != expected
         if result.whole:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -487,7 +487,7 @@
     return 5 + _hash(base_prompt) % 40
 
 
-def whole_answer(base_prompt: str, max_tokens: int = 1 << 30) -> str:
+def expected_answer(base_prompt: str, max_tokens: int = 1 << 30) -> str:
     """Returns the complete, correct answer to a prompt."""
     length = min(answer_length(base_prompt), max_tokens)
     return "".join(token_at(base_prompt, index) for index in range(length))
--- a/tests/support.py
+++ b/tests/support.py
@@ -8,7 +8,7 @@
 
 import httpcore
 
-from standins.engine import chat_prompt, whole_answer
+from standins.engine import chat_prompt, expected_answer
 from standins.launcher import Daemon, Options, System, call
 
 KEY = "moreton-key-01"
@@ -58,7 +58,7 @@
 
 def answer_to(prompt: str) -> str:
     """Returns the expected response text of a chat request."""
-    return whole_answer(chat_prompt([{"role": "user", "content": prompt}]))
+    return expected_answer(chat_prompt([{"role": "user", "content": prompt}]))
 
 
 def chat(
