--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -19,7 +19,7 @@
 from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.freshness import now_s
 from jasminerelay.groups import TotalDemand
-from jasminerelay.leasing import LeaseKeeper
+from jasminerelay.leasing import LeaseManager
 from jasminerelay.metrics import Counters
 from jasminerelay.registry import Registry, StoreStatus
 from jasminerelay.schema.messages import (
@@ -88,7 +88,7 @@
     def __init__(
         self,
         own: Member,
-        keeper: LeaseKeeper,
+        keeper: LeaseManager,
         caller: FencedCaller,
         usage: LocalUsage,
         ledger: UsageLedger,
--- a/src/jasminerelay/fencedcalls.py
+++ b/src/jasminerelay/fencedcalls.py
@@ -5,7 +5,7 @@
 
 from jasminerelay.dutycalls import CallResult, DutyCalls
 from jasminerelay.eventlog import EventLog
-from jasminerelay.leasing import LeaseKeeper
+from jasminerelay.leasing import LeaseManager
 from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.metrics import Counters
 from jasminerelay.scaling import ServerOrder
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        keeper: LeaseKeeper,
+        keeper: LeaseManager,
         calls: DutyCalls,
         calls_s: float,
         clock: Callable[[], float],
--- a/src/jasminerelay/leasing.py
+++ b/src/jasminerelay/leasing.py
@@ -43,7 +43,7 @@
         """
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Takes, renews and releases a lease for one instance."""
 
     def __init__(
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -23,7 +23,7 @@
     IncompleteExchangeError,
     NotSentError,
 )
-from jasminerelay.leasing import LeaseKeeper
+from jasminerelay.leasing import LeaseManager
 from jasminerelay.limits import Limit, TokenBucket
 from jasminerelay.manifest import Directory
 from jasminerelay.metrics import Counters
@@ -106,7 +106,7 @@
         self._cfg = cfg
         self._counters = counters
         self._lease = Lease(cfg.placement_lease_s, cfg.order_timeout_s)
-        self._keeper = LeaseKeeper(
+        self._keeper = LeaseManager(
             _TableLeaseStore(table),
             self._lease,
             own.instance,
--- a/src/jasminerelay/platform/dutyroot.py
+++ b/src/jasminerelay/platform/dutyroot.py
@@ -9,7 +9,7 @@
 from jasminerelay.fencing import Lease
 from jasminerelay.freshness import now_s
 from jasminerelay.httpclient import HttpClient
-from jasminerelay.leasing import LeaseKeeper
+from jasminerelay.leasing import LeaseManager
 from jasminerelay.metrics import Counters
 from jasminerelay.platform.bootfile import BootSettings
 from jasminerelay.platform.dutyapi import DutyApi
@@ -54,7 +54,7 @@
         started=now_s(),
     )
     table = DutyTable(store, log)
-    keeper = LeaseKeeper(table, lease, boot.name, own.instance, now_s)
+    keeper = LeaseManager(table, lease, boot.name, own.instance, now_s)
     calls = DutyApi(client, options.address, boot.name, call_s, log)
     caller = FencedCaller(keeper, calls, options.calls_s, now_s, counters, log)
     clock = TrueClock(now_s(), time.time())
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -12,7 +12,7 @@
 from jasminerelay.errors import StoreError
 from jasminerelay.fencedcalls import FencedCaller
 from jasminerelay.fencing import Lease, LeaseRow
-from jasminerelay.leasing import LeaseKeeper
+from jasminerelay.leasing import LeaseManager
 from jasminerelay.registry import StoreStatus
 from jasminerelay.scaling import ServerOrder
 from jasminerelay.schema.messages import Member
@@ -270,7 +270,7 @@
             started=now,
         )
         rows = StoreAccess(self)
-        keeper = LeaseKeeper(rows, lease, machine, name, anyio.current_time)
+        keeper = LeaseManager(rows, lease, machine, name, anyio.current_time)
         calls = PlatformAccess(self, machine)
         caller = FencedCaller(
             keeper, calls, 50.0, anyio.current_time, Quiet(), Quiet()
