--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -4,12 +4,12 @@
 
 import anyio
 
+from jasminerelay.cellowner import CellOwner, SendAnswers
 from jasminerelay.cells import CellServers, QueueEstimates
 from jasminerelay.dispatcher import Dispatcher, OnSplit
 from jasminerelay.enginemodel import EngineModels
 from jasminerelay.metrics import Counters
 from jasminerelay.outputlengths import OutputLengths
-from jasminerelay.owning import CellOwner, SendAnswers
 from jasminerelay.placementqueue import PASS_INTERVAL_S
 from jasminerelay.placewords import FOREIGN
 from jasminerelay.prefix import CacheView
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -12,6 +12,7 @@
 
 from jasminerelay import cells, peermessages, placementclient
 from jasminerelay.catalog import Call, Prompt, PromptPart
+from jasminerelay.cellowner import SENDER_TIMEOUT_S
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.enginemodel import SLOT_SHARE
 from jasminerelay.errors import NoCapacityError
@@ -23,7 +24,6 @@
 from jasminerelay.membership import ALIVE
 from jasminerelay.metrics import Counters
 from jasminerelay.ownedcells import OwnedCells
-from jasminerelay.owning import SENDER_TIMEOUT_S
 from jasminerelay.placementclient import (
     ANSWER_TIMEOUT_S,
     BATCH_S,
--- a/tests/test_ownersmodel.py
+++ b/tests/test_ownersmodel.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from jasminerelay import cells, owning
+from jasminerelay import cellowner, cells
 from jasminerelay.catalog import Call
 from jasminerelay.errors import NoCapacityError
 from jasminerelay.placementclient import CHECK_INTERVAL_S
@@ -75,7 +75,7 @@
     async def _wait_until_settled(self) -> list[str]:
         found = ["no check was made"]
         with (
-            unittest.mock.patch.object(owning, "SENDER_TIMEOUT_S", 600.0),
+            unittest.mock.patch.object(cellowner, "SENDER_TIMEOUT_S", 600.0),
             anyio.move_on_after(SETTLE_S),
         ):
             while found:
