--- a/src/jasminerelay/cellowner.py
+++ b/src/jasminerelay/cellowner.py
@@ -14,8 +14,7 @@
 from jasminerelay.catalog import Call
 from jasminerelay.cells import CellServers, QueueEstimates
 from jasminerelay.dispatcher import Dispatcher
-from jasminerelay.placementqueue import PlacementQueue, QueueEntry
-from jasminerelay.placewords import (
+from jasminerelay.placementmessages import (
     ELSEWHERE,
     FOREIGN,
     MS,
@@ -24,6 +23,7 @@
     call_of,
     placement_answer,
 )
+from jasminerelay.placementqueue import PlacementQueue, QueueEntry
 from jasminerelay.responsemonitor import PeerResponseMonitor
 from jasminerelay.schema.messages import (
     CellQueue,
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -10,8 +10,8 @@
 from jasminerelay.enginemodel import EngineModels
 from jasminerelay.metrics import Counters
 from jasminerelay.outputlengths import OutputLengths
+from jasminerelay.placementmessages import FOREIGN
 from jasminerelay.placementqueue import PASS_INTERVAL_S
-from jasminerelay.placewords import FOREIGN
 from jasminerelay.prefix import CacheView
 from jasminerelay.registry import Registry
 from jasminerelay.responsemonitor import PeerResponseMonitor
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -19,8 +19,7 @@
 from jasminerelay.dispatcher import Dispatcher
 from jasminerelay.errors import NoCapacityError
 from jasminerelay.metrics import Counters
-from jasminerelay.placementqueue import PlacementQueue, Reservation
-from jasminerelay.placewords import (
+from jasminerelay.placementmessages import (
     ELSEWHERE,
     MS,
     PLACED,
@@ -31,6 +30,7 @@
     placement_request,
     request_end_report,
 )
+from jasminerelay.placementqueue import PlacementQueue, Reservation
 from jasminerelay.placing import PlacementDecision
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -30,8 +30,8 @@
     CHECK_INTERVAL_S,
     PlacementClient,
 )
+from jasminerelay.placementmessages import FOREIGN, placement_request
 from jasminerelay.placementqueue import PlacementQueue, Reservation
-from jasminerelay.placewords import FOREIGN, placement_request
 from jasminerelay.placing import KNOWN_PREFILL_LIMIT_S
 from jasminerelay.platform import documents
 from jasminerelay.registry import Registry
