--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -33,7 +33,7 @@
 from jasminerelay.peerlink import PeerLink, SnapshotApp
 from jasminerelay.placementclient import PlacementClient
 from jasminerelay.placementqueue import PlacementQueue
-from jasminerelay.platform import bootfile, documents
+from jasminerelay.platform import bootfile, decoding
 from jasminerelay.platform.bootfile import BootSettings
 from jasminerelay.platform.doors import StatusApp
 from jasminerelay.platform.dutyroot import build_duties
@@ -213,7 +213,7 @@
 
     def _build_state(self) -> None:
         boot = self.boot
-        self.registry = Registry(documents.catalog, documents.server)
+        self.registry = Registry(decoding.catalog, decoding.server)
         self.client = HttpClient(self._watchdog, keepalive=True)
         store = self._store = Store(self.client, boot.store)
         self._freshness = Freshness((OPERATOR_TABLE, SERVERS_TABLE))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,7 +12,7 @@
 from jasminerelay.eventlog import EventLog
 from jasminerelay.exchange import OutgoingRequest
 from jasminerelay.httpclient import HttpResponse
-from jasminerelay.platform import bootfile, deployfile, documents, headers
+from jasminerelay.platform import bootfile, decoding, deployfile, headers
 from standins.launcher import ROOT
 from tests.test_placing import call
 
@@ -131,7 +131,7 @@
 
     def setUp(self) -> None:
         data = msgspec.json.encode(CONFIGURATION)
-        self.catalog = documents.catalog(data)
+        self.catalog = decoding.catalog(data)
 
     def test_longest_prefix(self) -> None:
         for path, name in (("/a/x", "a"), ("/a/b/x", "b"), ("/a/b", "a")):
@@ -159,7 +159,7 @@
         ):
             changes = {"targetLatencyMs": objective, "gapTargetMs": pause}
             data = {**CONFIGURATION, "routes": [{**base, **changes}]}
-            catalog = documents.catalog(msgspec.json.encode(data))
+            catalog = decoding.catalog(msgspec.json.encode(data))
             self.assertEqual(
                 catalog.routes[0].caller_idle_timeout_s, patience_s
             )
@@ -181,7 +181,7 @@
                 for n, rank in enumerate(ranks)
             ]
             data = {**CONFIGURATION, "routes": routes, "tenants": tenants}
-            catalog = documents.catalog(msgspec.json.encode(data))
+            catalog = decoding.catalog(msgspec.json.encode(data))
             seen = []
             for holder in catalog.key_holders.values():
                 for route in catalog.routes:
@@ -204,7 +204,7 @@
             for name, rank in (("chat", 0), ("check", 1), ("study", 2))
         ]
         data = {**CONFIGURATION, "routes": routes}
-        catalog = documents.catalog(msgspec.json.encode(data))
+        catalog = decoding.catalog(msgspec.json.encode(data))
         urgent = {
             (rank, route.name): catalog.is_urgent(rank, route)
             for rank in (0, 1, 2)
@@ -220,17 +220,17 @@
         ]
         route = {**CONFIGURATION["routes"][0], "sessionAffinity": True}
         data = {**CONFIGURATION, "routes": [route], "tenants": tenants}
-        catalog = documents.catalog(msgspec.json.encode(data))
+        catalog = decoding.catalog(msgspec.json.encode(data))
         only = catalog.routes[0]
         self.assertTrue(catalog.is_urgent(1, only))
         self.assertFalse(catalog.is_urgent(3, only))
 
     def test_unreadable(self) -> None:
         for data in (b"", b"[]", b'{"version": "x"}'):
-            with self.assertRaises(documents.DocumentError):
-                documents.catalog(data)
-            with self.assertRaises(documents.DocumentError):
-                documents.server("s", data)
+            with self.assertRaises(decoding.DocumentError):
+                decoding.catalog(data)
+            with self.assertRaises(decoding.DocumentError):
+                decoding.server("s", data)
 
 
 class HeadersTest(unittest.TestCase):
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -33,7 +33,7 @@
 from jasminerelay.placementmessages import FOREIGN, placement_request
 from jasminerelay.placementqueue import PlacementQueue, Reservation
 from jasminerelay.placing import KNOWN_PREFILL_LIMIT_S
-from jasminerelay.platform import documents
+from jasminerelay.platform import decoding
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import CellUpdate, Member, ServerRow
 from jasminerelay.schema.settings import Statsd
@@ -67,7 +67,7 @@
 
 def registry(servers: int) -> Registry:
     """Returns a registry of idle engines of one service."""
-    found = Registry(documents.catalog, documents.server)
+    found = Registry(decoding.catalog, decoding.server)
     configuration = {
         "version": 1,
         "routes": [
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -17,7 +17,7 @@
     QueueEntry,
 )
 from jasminerelay.placing import Wait
-from jasminerelay.platform import documents
+from jasminerelay.platform import decoding
 from jasminerelay.prefix import CacheView
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import (
@@ -35,7 +35,7 @@
 
 def dispatcher(servers: int) -> Dispatcher:
     """Returns a dispatcher with idle model servers."""
-    registry = Registry(documents.catalog, documents.server)
+    registry = Registry(decoding.catalog, decoding.server)
     configuration = {
         "version": 1,
         "routes": [],
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -14,7 +14,7 @@
     IncompleteExchangeError,
     NotSentError,
 )
-from jasminerelay.platform import bootfile, documents
+from jasminerelay.platform import bootfile, decoding
 from jasminerelay.platform.dutyapi import DutyApi
 from jasminerelay.platform.storeclient import Store
 from jasminerelay.platform.tables import DutyTable
@@ -101,7 +101,7 @@
             },
         }
         body = {"version": 1, "routes": [], "backends": [service]}
-        catalog = documents.catalog(json.dumps(body).encode())
+        catalog = decoding.catalog(json.dumps(body).encode())
         scaling = catalog.services["s"].scaling
         self.assertEqual((scaling.min_servers, scaling.max_servers), (1, 30))
         self.assertEqual(scaling.preemptible_price, 0.22)
@@ -109,7 +109,7 @@
 
     def test_service_without_autoscaling(self) -> None:
         body = {"version": 1, "routes": [], "backends": [{"name": "s"}]}
-        catalog = documents.catalog(json.dumps(body).encode())
+        catalog = decoding.catalog(json.dumps(body).encode())
         self.assertIsNone(catalog.services["s"].scaling)
 
 
--- a/tests/test_serverrows.py
+++ b/tests/test_serverrows.py
@@ -10,8 +10,8 @@
 from jasminerelay import peermessages
 from jasminerelay.eventlog import EventLog
 from jasminerelay.metrics import Counters
-from jasminerelay.platform import documents, headers, storeclient
-from jasminerelay.platform.documents import DocumentError
+from jasminerelay.platform import decoding, headers, storeclient
+from jasminerelay.platform.decoding import DocumentError
 from jasminerelay.registry import RETURN_GRACE_S, Registry, ServerChange
 from jasminerelay.schema.messages import ServerLoad, ServerRow, StoreSnapshot
 from jasminerelay.schema.settings import Statsd
@@ -56,7 +56,7 @@
 
 def registry() -> Registry:
     """Returns an empty registry that decodes the platform's rows."""
-    return Registry(documents.catalog, documents.server)
+    return Registry(decoding.catalog, decoding.server)
 
 
 class RecordingLog(EventLog):
@@ -214,7 +214,7 @@
         self.assertIsNone(known.server("b"))
 
     def test_id_contains_name_and_start(self) -> None:
-        server = documents.server("a", msgspec.json.encode(ENTRY))
+        server = decoding.server("a", msgspec.json.encode(ENTRY))
         self.assertEqual((server.name, server.id), ("a", f"a@{START}"))
 
 
@@ -248,7 +248,7 @@
                     self.subTest(field=name, data=data),
                     self.assertRaises(DocumentError),
                 ):
-                    documents.server(f"f{number}", data)
+                    decoding.server(f"f{number}", data)
 
     def test_unreadable_rows_name_no_server(self) -> None:
         # An unknown phase, bytes that are not a document, an invalid address.
@@ -306,7 +306,7 @@
     @given(JSON)
     def test_any_document(self, value: object) -> None:
         data = msgspec.json.encode(value)
-        for decode in (documents.catalog, lambda d: documents.server("a", d)):
+        for decode in (decoding.catalog, lambda d: decoding.server("a", d)):
             try:
                 decode(data)
             except DocumentError as exc:
@@ -317,7 +317,7 @@
     def test_any_field(self, fields: dict) -> None:
         data = msgspec.json.encode({**ENTRY, **fields})
         try:
-            server = documents.server("a", data)
+            server = decoding.server("a", data)
         except DocumentError:
             return
         self.assertGreater(server.slots, 0)
--- a/tests/test_snapshotchanges.py
+++ b/tests/test_snapshotchanges.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from jasminerelay import cells
-from jasminerelay.platform import documents
+from jasminerelay.platform import decoding
 from jasminerelay.registry import Registry
 from jasminerelay.schema.messages import ServerRow
 
@@ -39,7 +39,7 @@
 
 def registry(count: int = 0, version: int = 1) -> Registry:
     """Returns the registry of an instance that has read the store."""
-    filled = Registry(documents.catalog, documents.server)
+    filled = Registry(decoding.catalog, decoding.server)
     filled.apply_full_read(
         [row(f"s{n}", version) for n in range(count)], version
     )
@@ -91,7 +91,7 @@
         self.assertIn("s1", names(self.receiver))
 
     def test_empty_receiver_gets_all_rows(self) -> None:
-        self.receiver = Registry(documents.catalog, documents.server)
+        self.receiver = Registry(decoding.catalog, decoding.server)
         self.assertEqual(len(self.send_snapshot().servers), 5)
         self.assertEqual(names(self.receiver), names(self.sender))
 
