--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -35,7 +35,7 @@
 from jasminerelay.placementqueue import PlacementQueue
 from jasminerelay.platform import bootfile, decoding
 from jasminerelay.platform.bootfile import BootSettings
-from jasminerelay.platform.dutyroot import build_duties
+from jasminerelay.platform.dutyassembly import build_duties
 from jasminerelay.platform.headers import PlatformDialect
 from jasminerelay.platform.ingress import Ingress, IngressContext
 from jasminerelay.platform.statusapp import StatusApp
