--- a/src/jasminerelay/manifest.py
+++ b/src/jasminerelay/manifest.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from jasminerelay import checking
+from jasminerelay import validation
 from jasminerelay.errors import ConfigProblem, ForbiddenError, NotFoundError
 from jasminerelay.schema.manifest import (
     Call,
@@ -62,12 +62,12 @@
 
 def parse(text: str, source: str) -> Result["Directory", list[ConfigProblem]]:
     """Parses and validates a manifest; on failure returns all its errors."""
-    parsed = checking.parse_toml(text, source)
+    parsed = validation.parse_toml(text, source)
     if isinstance(parsed, Err):
         return parsed
     raw = parsed.ok_value
-    problems = checking.check(raw, "manifest", source)
-    manifest = checking.convert(raw, Manifest)
+    problems = validation.check(raw, "manifest", source)
+    manifest = validation.convert(raw, Manifest)
     if manifest is not None:
         problems += _cross_check(manifest, source)
     return Err(problems) if problems else Ok(Directory(manifest))
--- a/src/jasminerelay/platform/bootfile.py
+++ b/src/jasminerelay/platform/bootfile.py
@@ -6,7 +6,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from jasminerelay import checking, settings
+from jasminerelay import settings, validation
 from jasminerelay.errors import ConfigProblem
 
 USAGE_DUTY = "usage_report"
@@ -140,7 +140,7 @@
 
     Unknown fields are ignored, since the platform adds new ones.
     """
-    parsed = checking.parse_toml(text, source)
+    parsed = validation.parse_toml(text, source)
     if isinstance(parsed, Err):
         return parsed
     try:
--- a/src/jasminerelay/platform/deployfile.py
+++ b/src/jasminerelay/platform/deployfile.py
@@ -6,7 +6,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from jasminerelay import checking
+from jasminerelay import validation
 from jasminerelay.errors import ConfigProblem
 
 CALLERS_SERVICE = "edge"
@@ -45,7 +45,7 @@
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as exc:
         return Err([_problem(source, "(file)", str(exc), "a TOML file")])
-    parsed = checking.parse_toml(text, source)
+    parsed = validation.parse_toml(text, source)
     if isinstance(parsed, Err):
         return parsed
     try:
--- a/src/jasminerelay/settings.py
+++ b/src/jasminerelay/settings.py
@@ -5,19 +5,19 @@
 
 from result import Err, Ok, Result
 
-from jasminerelay import checking
+from jasminerelay import validation
 from jasminerelay.errors import ConfigProblem
 from jasminerelay.schema.settings import Settings
 
 
 def parse(text: str, source: str) -> Result[Settings, list[ConfigProblem]]:
     """Parses and validates settings; on failure returns all their errors."""
-    parsed = checking.parse_toml(text, source)
+    parsed = validation.parse_toml(text, source)
     if isinstance(parsed, Err):
         return parsed
     raw = parsed.ok_value
-    problems = checking.check(raw, "settings", source)
-    settings = checking.convert(raw, Settings)
+    problems = validation.check(raw, "settings", source)
+    settings = validation.convert(raw, Settings)
     if settings is not None:
         problems += _cross_check(settings, source)
     return Err(problems) if problems else Ok(settings)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -114,7 +114,12 @@
                 for item in imported
                 if item.startswith("jasminerelay.") and "schema" not in item
             }
-            allowed = {*self.DECISION_MODULES, "errors", "settings", "checking"}
+            allowed = {
+                *self.DECISION_MODULES,
+                "errors",
+                "settings",
+                "validation",
+            }
             self.assertLessEqual(own, allowed, name)
 
 
