--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -386,13 +386,13 @@
 
 def _burn_memory(buckets: int) -> float:
     def make() -> burn.BurnRecorder:
-        book = burn.BurnRecorder()
+        recorder = burn.BurnRecorder()
         for number in range(buckets):
             sample = burn.Sample(
                 f"class-{number % 5}", "completed", True, 0.5, 10, {}
             )
-            book.add(sample, number // 5 * 60.0)
-        return book
+            recorder.add(sample, number // 5 * 60.0)
+        return recorder
 
     return _retained_bytes(make)
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -72,7 +72,7 @@
 ) -> int:
     client = HttpClient(Watchdog())
     platform = Platform(**urls)
-    desk = ClaimStore(
+    claim_store = ClaimStore(
         TableClient(client, platform, 2.0),
         ObjectStoreClient(client, platform, 2.0),
         Counters(Statsd()),
@@ -88,7 +88,7 @@
             number += 1
             started = time.monotonic()
             try:
-                result = await desk.acquire(
+                result = await claim_store.acquire(
                     f"claim/{name}-{number}", "d", MAX_CALL_S
                 )
             except StoreError:
@@ -97,10 +97,12 @@
             latencies.append(time.monotonic() - started)
             await anyio.sleep(CALL_DURATION_S)
             if isinstance(result, AcquiredClaim):
-                await desk.record_answer(result, 200, "text/plain", b"done")
+                await claim_store.record_answer(
+                    result, 200, "text/plain", b"done"
+                )
 
     async with anyio.create_task_group() as group:
-        group.start_soon(desk.run)
+        group.start_soon(claim_store.run)
         async with anyio.create_task_group() as running:
             for name in range(callers):
                 running.start_soon(make_claims, name)
--- a/src/jasminerelay/admission.py
+++ b/src/jasminerelay/admission.py
@@ -32,8 +32,8 @@
         service_s: Time from its placement to its end.
         remaining_s: Time until its deadline.
         first_s: Time from its placement to its first event.
-        caller_idle_timeout_s: Time after which its caller disconnects if no event has
-            come.
+        caller_idle_timeout_s: Time after which its caller disconnects if no
+            event has come.
     """
 
     queue_delay_s: float
@@ -44,7 +44,7 @@
 
     @property
     def overrun_s(self) -> float:
-        """Time by which it misses its deadline or its caller's patience.
+        """Time by which it misses its deadline or its caller's idle timeout.
 
         If the caller of a stream disconnects before the first event, the
         prefill is wasted: under a burst that was a third of the requests not
--- a/src/jasminerelay/adoptedmanifest.py
+++ b/src/jasminerelay/adoptedmanifest.py
@@ -86,8 +86,8 @@
     """Parses a manifest; None if it is invalid or does not match the digest.
 
     A peer or the store may return a truncated text, which the digest detects,
-    or an old version, which take() rejects. Parsing a large manifest takes a
-    while; this function is safe to run in a thread.
+    or an old version, which adopt_parsed() rejects. Parsing a large manifest
+    takes a while; this function is safe to run in a thread.
     """
     if manifest.digest_of(body) != pointer.digest:
         return None
--- a/src/jasminerelay/answers.py
+++ b/src/jasminerelay/answers.py
@@ -65,11 +65,11 @@
 
     def __init__(
         self,
-        kit: AnswerContext,
+        context: AnswerContext,
         request: ModelRequest,
         placement: RequestPolicy,
     ):
-        self._context = kit
+        self._context = context
         self._request = request
         self._placement = placement
         self._id = f"{_id_prefix(request.path)}-{_new_id()}"
--- a/src/jasminerelay/attempt.py
+++ b/src/jasminerelay/attempt.py
@@ -147,12 +147,12 @@
 
     def __init__(
         self,
-        kit: ForwardingContext,
+        context: ForwardingContext,
         call: Call,
         sink: ResponseSink,
         progress: RequestProgress,
     ):
-        self._kit = kit
+        self._context = context
         self._call = call
         self._sink = sink
         self._progress = progress
@@ -164,7 +164,7 @@
         """Sends the request to the reserved server and relays the answer."""
         server = reservation.placed.server
         try:
-            channel = await self._kit.channels.acquire(server)
+            channel = await self._context.channels.acquire(server)
         except NotSentError as exc:
             return NotSent(str(exc))
         done = _Completion()
@@ -176,7 +176,7 @@
                     await channel.aclose()
             else:
                 head = done.head
-                await self._kit.channels.put_back(
+                await self._context.channels.put_back(
                     channel, head.idle_timeout_s, head.closing
                 )
 
@@ -198,7 +198,7 @@
         request = httpcore.Request(
             self._call.method,
             channel.url(self._call.target),
-            headers=self._kit.dialect.request_headers(sending),
+            headers=self._context.dialect.request_headers(sending),
             content=self._call.body or None,
         )
         self._progress.maybe_ran = True
@@ -212,17 +212,17 @@
         except IncompleteExchangeError as exc:
             self._report_lost()
             return Unknown(str(exc))
-        self._kit.dispatcher.record_response(server.id, time.monotonic())
-        head = self._kit.dialect.head(response.status, response.headers)
+        self._context.dispatcher.record_response(server.id, time.monotonic())
+        head = self._context.dialect.head(response.status, response.headers)
         # A faulty server may send a second answer to an earlier request. On a
         # reused connection only the request id distinguishes it from this
         # request's answer, so an answer without an id isn't accepted there.
         answered_id = head.request or ("" if reused else self._call.id)
         if answered_id == self._call.id and not head.misdirected:
-            self._kit.limits.on_response(server.id, head)
+            self._context.limits.on_response(server.id, head)
         if answered_id != self._call.id:
-            self._kit.channels.record_unexpected_data(server)
-            self._kit.counters.incr("backend.crossed")
+            self._context.channels.record_unexpected_data(server)
+            self._context.counters.incr("backend.crossed")
             return Unknown("received the answer to another request")
         if self._call.route.streaming and head.status == OK:
             return await self._relay_stream(
@@ -235,14 +235,14 @@
     def _report_started(self, ago_s: float) -> None:
         # A moved run was reported when it started.
         if not self._continues_run:
-            self._kit.on_started(self._call.organisation, ago_s)
+            self._context.on_started(self._call.organisation, ago_s)
 
     def _report_lost(self) -> None:
         # A request whose answer is lost has most likely run. A stream starts
         # with its first event, so the estimated time to it is deducted.
         ago_s = time.monotonic() - self._sent_at
         if self._call.route.streaming:
-            ago_s -= self._kit.dispatcher.first_s(self._call)
+            ago_s -= self._context.dispatcher.first_s(self._call)
         if ago_s >= 0:
             self._report_started(ago_s)
 
@@ -263,7 +263,7 @@
             return Unknown(f"timed out: {exc!r}")
         await response.aclose()
         if not channel.reusable and not head.closing:
-            self._kit.channels.record_unexpected_data(channel.server)
+            self._context.channels.record_unexpected_data(channel.server)
         done.head = head
         if head.not_run:
             return NotRun(f"status {head.status}", head.misdirected)
@@ -284,7 +284,7 @@
         done: "_Completion",
     ) -> Outcome:
         server = channel.server
-        leaving_event = self._kit.stream_migrator.attach(server.id)
+        leaving_event = self._context.stream_migrator.attach(server.id)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._move_when_leaving, server, leaving_event)
@@ -296,7 +296,7 @@
                     await move_ended.wait()
                 group.cancel_scope.cancel()
         finally:
-            self._kit.stream_migrator.detach(server.id, leaving_event)
+            self._context.stream_migrator.detach(server.id, leaving_event)
         if isinstance(outcome, Delivered):
             await response.aclose()
             done.head = head
@@ -312,7 +312,9 @@
         head: ResponseHead,
     ) -> Outcome:
         splitter = sse.EventSplitter()
-        timer = _StreamTimer(self._kit, self._call, reservation, self._sent_at)
+        timer = _StreamTimer(
+            self._context, self._call, reservation, self._sent_at
+        )
         progress = self._progress
         try:
             async for chunk in body_chunks(response):
@@ -330,7 +332,7 @@
             return Interrupted("the stream ended within an event")
         self._progress.status = head.status
         self._progress.output = self._progress.events * timer.event_tokens
-        self._kit.dispatcher.lengths.observe(
+        self._context.dispatcher.lengths.observe(
             self._call.route.name, self._progress.output
         )
         return Delivered(head.status)
@@ -339,7 +341,7 @@
         self, server: BackendServer, leaving_event: anyio.Event
     ) -> None:
         await leaving_event.wait()
-        dispatcher = self._kit.dispatcher
+        dispatcher = self._context.dispatcher
         left_s = dispatcher.remaining_s(
             self._call, server, self._progress.events
         )
@@ -353,7 +355,7 @@
         )
 
     async def _move_when_slow(self, server: BackendServer) -> None:
-        dispatcher = self._kit.dispatcher
+        dispatcher = self._context.dispatcher
         while self._progress.moves < MAX_MOVES:
             await anyio.sleep(SLOW_CHECK_INTERVAL_S)
             if not self._sink.started or not dispatcher.needs_faster_server(
@@ -384,7 +386,7 @@
         self._move_ended = anyio.Event()
         self._progress.moves += 1
         try:
-            self._progress.copy = await self._kit.stream_migrator.move(
+            self._progress.copy = await self._context.stream_migrator.move(
                 self._call, server, reservation.placed.server
             )
         finally:
@@ -442,17 +444,17 @@
 
     def __init__(
         self,
-        kit: ForwardingContext,
+        context: ForwardingContext,
         call: Call,
         reservation: Reservation,
         sent_at: float,
     ):
-        self._kit = kit
+        self._context = context
         self._call = call
         self._reservation = reservation
         self._sent_at = sent_at
         self._last_event_at = 0.0
-        engine = kit.dispatcher.engine_of(call.service)
+        engine = context.dispatcher.engine_of(call.service)
         self.event_tokens = engine.event_tokens if engine else 1
         self.first_at = 0.0
         self.pause_s = 0.0
@@ -460,16 +462,16 @@
     def events(self, count: int) -> None:
         """Records events that have just arrived."""
         now = time.monotonic()
-        self._kit.dispatcher.record_response(
+        self._context.dispatcher.record_response(
             self._reservation.placed.server.id, now
         )
         if not self.first_at:
             self.first_at = now
             self._record_prefill(now)
             self._reservation.run.read(now - self._sent_at)
-            self._kit.queue.capacity_freed(self._call.service)
+            self._context.queue.capacity_freed(self._call.service)
         else:
-            self._kit.dispatcher.token_times.observe(
+            self._context.dispatcher.token_times.observe(
                 self._reservation.placed.server.id,
                 count * self.event_tokens,
                 now - self._last_event_at,
@@ -480,7 +482,7 @@
 
     def _record_prefill(self, now: float) -> None:
         reservation = self._reservation
-        self._kit.dispatcher.record_first_event(
+        self._context.dispatcher.record_first_event(
             self._call,
             reservation.placed,
             reservation.run.prefill_ahead,
--- a/src/jasminerelay/backends.py
+++ b/src/jasminerelay/backends.py
@@ -47,15 +47,15 @@
     def __init__(
         self,
         message: str,
-        proof: ExecutionStatus,
+        execution_status: ExecutionStatus,
         *,
         leaving: bool = False,
-        rejected: HttpResponse | None = None,
+        rejection: HttpResponse | None = None,
     ):
         super().__init__(message)
-        self.execution_status = proof
+        self.execution_status = execution_status
         self.leaving = leaving
-        self.rejection = rejected
+        self.rejection = rejection
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/jasminerelay/broker.py
+++ b/src/jasminerelay/broker.py
@@ -92,9 +92,9 @@
 
     Example:
         >>> broker = Broker(cell)                      # doctest: +SKIP
-        >>> broker.ask(waiting, now=0.0)               # doctest: +SKIP
+        >>> broker.enqueue(waiting, now=0.0)           # doctest: +SKIP
         >>> broker.step(now=0.0)                       # doctest: +SKIP
-        [Decision(entry='a', message=Grant(ask_id='1', ...))]
+        [Decision(entry='a', message=PermitGrant(ask_id='1', ...))]
     """
 
     def __init__(self, cell: Cell, share: float = 1.0):
--- a/src/jasminerelay/callers.py
+++ b/src/jasminerelay/callers.py
@@ -12,7 +12,7 @@
 from starlette.routing import Route
 
 from jasminerelay import answers, entrylist, modelrequests
-from jasminerelay.answers import Placement
+from jasminerelay.answercontext import RequestPolicy
 from jasminerelay.claims import request_digest
 from jasminerelay.completions import Completions
 from jasminerelay.errors import (
--- a/src/jasminerelay/catalog.py
+++ b/src/jasminerelay/catalog.py
@@ -61,8 +61,8 @@
         max_servers: Maximum number of backend servers that may run one request.
         anonymous: Whether callers need no key.
         model: Whether requests carry a prompt for a model engine.
-        caller_idle_timeout_s: Time without an event after which callers abandon a stream,
-            also before its first event.
+        caller_idle_timeout_s: Time without an event after which callers abandon
+            a stream, also before its first event.
     """
 
     name: str
@@ -106,9 +106,10 @@
         backups: Whether the KV cache of an in-flight request can be copied to a
             second server while it grows.
         event_tokens: Tokens in one event of a stream.
-        supports_moves: Whether an in-flight request can be moved to another server.
-        link_bits_per_s: Bandwidth of one server's link to the others, in bits per
-            second; 0 if unknown.
+        supports_moves: Whether an in-flight request can be moved to another
+            server.
+        link_bits_per_s: Bandwidth of one server's link to the others, in bits
+            per second; 0 if unknown.
     """
 
     slots: int
@@ -175,8 +176,8 @@
         body_bytes: Maximum size of a request's body.
         head_bytes: Maximum size of a request's head.
         head_timeout_s: Maximum time from the first byte of a head to its last.
-        idle_timeout_s: Maximum pause inside a body, and maximum time that a connection
-            may stay open without a request.
+        idle_timeout_s: Maximum pause inside a body, and maximum time that a
+            connection may stay open without a request.
     """
 
     body_bytes: int = 1 << 22
@@ -386,8 +387,8 @@
         headers: Header fields to forward.
         body: The complete body.
         prompt: Set for model requests.
-        last_event_id: Id of the last event that the caller received of an earlier
-            answer; "" for a new request.
+        last_event_id: Id of the last event that the caller received of an
+            earlier answer; "" for a new request.
         arrived_at: Monotonic time at which it was read, in seconds.
         answer_deadline: Monotonic time by which its final answer must be sent.
     """
--- a/src/jasminerelay/cellowner.py
+++ b/src/jasminerelay/cellowner.py
@@ -102,7 +102,7 @@
         cell: int,
         registry: CellServers,
         dispatcher: Dispatcher,
-        silences: PeerResponseMonitor,
+        response_monitor: PeerResponseMonitor,
         queues: QueueEstimates,
         answer: SendAnswers,
     ):
@@ -114,7 +114,7 @@
             cell: Number of the cell.
             registry: The cell's servers.
             dispatcher: Places requests by this cell's in-flight requests only.
-            silences: The dispatcher's record of unresponsive servers.
+            response_monitor: The dispatcher's record of unresponsive servers.
             queues: Queue estimates of other cells.
             answer: Sends answers.
         """
@@ -123,7 +123,7 @@
         self._cell = cell
         self._registry = registry
         self._dispatcher = dispatcher
-        self._unresponsive = silences
+        self._unresponsive = response_monitor
         self._queues = queues
         self._answer = answer
         self._senders: dict[str, _Sender] = {}
--- a/src/jasminerelay/channels.py
+++ b/src/jasminerelay/channels.py
@@ -78,7 +78,8 @@
         """Sends a request and reads the head of the answer.
 
         Raises:
-            BrokenError: if the exchange failed; the request may have run.
+            IncompleteExchangeError: if the exchange failed; the request may
+                have run.
         """
         self.unused = False
         self._stream.read_timeout_s = timeout_s
@@ -109,7 +110,7 @@
     def __init__(self, watchdog: Watchdog):
         self._backend = WatchedNetworkBackend(watchdog, keepalive=True)
         self._idle: dict[str, collections.deque[_IdleChannel]] = {}
-        self._distrusted: dict[str, float] = {}
+        self._no_pooling_until: dict[str, float] = {}
 
     async def acquire(self, server: BackendServer) -> Channel:
         """Returns an idle connection, or a new one.
@@ -136,11 +137,11 @@
     ) -> None:
         """Pools a connection whose answer is complete, or closes it."""
         now = time.monotonic()
-        trusted = self._distrusted.get(channel.server.id, 0.0) <= now
+        may_pool = self._no_pooling_until.get(channel.server.id, 0.0) <= now
         idle = self._idle.setdefault(channel.server.id, collections.deque())
         if (
             closing
-            or not trusted
+            or not may_pool
             or not channel.reusable
             or len(idle) >= MAX_IDLE_PER_SERVER
         ):
@@ -151,7 +152,7 @@
 
     def record_unexpected_data(self, server: BackendServer) -> None:
         """Records that a server sent bytes which belong to no request."""
-        self._distrusted[server.id] = time.monotonic() + NO_POOLING_S
+        self._no_pooling_until[server.id] = time.monotonic() + NO_POOLING_S
 
     async def close_expired(self) -> None:
         """Closes connections whose idle time has expired."""
--- a/src/jasminerelay/claims.py
+++ b/src/jasminerelay/claims.py
@@ -80,8 +80,8 @@
             error message; it never lets the call run again.
 
     Raises:
-        KeyReusedError: if the row belongs to another request.
-        ConflictError: if its outcome is open or unknown.
+        IdempotencyKeyReusedError: if the row belongs to another request.
+        IdempotencyConflictError: if its outcome is open or unknown.
     """
     if row.digest != digest:
         raise IdempotencyKeyReusedError(
--- a/src/jasminerelay/claimstore.py
+++ b/src/jasminerelay/claimstore.py
@@ -114,9 +114,9 @@
             max_call_s: Longest duration of the call in seconds.
 
         Raises:
-            ConflictError: if another request holds the claim, or whether the
-                call ran is unknown.
-            KeyReusedError: if the key was used for another request.
+            IdempotencyConflictError: if another request holds the claim, or
+                whether the call ran is unknown.
+            IdempotencyKeyReusedError: if the key was used for another request.
             StoreError: if the claim is not acknowledged in time. This request
                 does not dispatch the call then; whether an earlier request
                 with the same key ran is unknown.
--- a/src/jasminerelay/completions.py
+++ b/src/jasminerelay/completions.py
@@ -12,8 +12,8 @@
 class Completions:
     """Creates the answers to all model requests at one instance."""
 
-    def __init__(self, kit: AnswerContext):
-        self._context = kit
+    def __init__(self, context: AnswerContext):
+        self._context = context
 
     def start(self, request: ModelRequest, placement: RequestPolicy) -> Answer:
         """Returns the answer to a new request; iterate its `events`."""
@@ -29,7 +29,7 @@
         """Returns the remaining part of a stream that another instance began.
 
         Raises:
-            ResumeGoneError: if the stream's backend server is not in the
+            ResumeUnavailableError: if the stream's backend server is not in the
                 manifest or does not support resuming.
         """
         server = directory.servers.get(point.server)
--- a/src/jasminerelay/daemon.py
+++ b/src/jasminerelay/daemon.py
@@ -138,9 +138,9 @@
                 self._brokers.run,
                 self.permit_client.run,
                 self._claim_store.run,
-                self._manifest_keeper.run,
+                self._manifest_manager.run,
                 self._load_poller.run,
-                self._placer.run,
+                self._placement_reconciler.run,
                 self._poll_instance_list,
                 self._flush_counters,
             ):
@@ -180,7 +180,7 @@
 
     def status(self) -> dict[str, Any]:
         """Returns the status of the instance for operators."""
-        pointer = self._manifest_keeper.adopted.pointer
+        pointer = self._manifest_manager.adopted.pointer
         return {
             "instance": self.cfg.instance,
             "zone": self.cfg.zone,
@@ -203,7 +203,7 @@
                 }
                 for member in self.membership.view
             ],
-            "gives_orders": self._placer.holds,
+            "gives_orders": self._placement_reconciler.holds,
             "leaving_servers": sorted(self.membership.leaving_servers()),
             "cells": {
                 name: {"waiting": waiting, "held": held}
@@ -250,7 +250,7 @@
         self._instance_list = InstanceListClient(
             self._client, cfg.platform, timeout_s
         )
-        self._manifest_keeper = ManifestManager(
+        self._manifest_manager = ManifestManager(
             self._table_client,
             self._object_store,
             cfg.timing,
@@ -292,7 +292,7 @@
         )
         self._broker_links.set_handler(self.permit_client, self._peer_address)
 
-        self._placer = PlacementReconciler(
+        self._placement_reconciler = PlacementReconciler(
             self.membership.own_member,
             self.membership.live,
             self._directory,
@@ -352,7 +352,7 @@
         )
         self._operators_context = operators.OperatorContext(
             cfg.keys.operator_token,
-            self._manifest_keeper,
+            self._manifest_manager,
             self.status,
             self.entries,
             self.drain,
@@ -362,7 +362,7 @@
         )
 
     def _directory(self) -> Directory | None:
-        return self._manifest_keeper.directory
+        return self._manifest_manager.directory
 
     def _ready(self) -> bool:
         return self._directory() is not None and not self._draining
@@ -434,7 +434,7 @@
         self._gossip.send(self.membership.push())
 
     def _on_gossip(self, gossip: Gossip) -> None:
-        self._manifest_keeper.handle_pointer(
+        self._manifest_manager.handle_pointer(
             gossip.manifest, gossip.sender.peers
         )
         if gossip.notices:
@@ -464,7 +464,7 @@
         self._peer_server = peers.PeerServer(
             self._brokers,
             self._peer_credentials,
-            self._manifest_keeper.newest_reply,
+            self._manifest_manager.newest_reply,
         )
         await self._peer_server.start(self.cfg.listen.peers)
         bounds = self.cfg.bounds
--- a/src/jasminerelay/dispatcher.py
+++ b/src/jasminerelay/dispatcher.py
@@ -106,8 +106,8 @@
     """Chooses servers for requests; opens no connections.
 
     Attributes:
-        measures_step_times: Whether step times are measured from the streams of this
-            instance; otherwise cell owners receive them in reports.
+        measures_step_times: Whether step times are measured from the streams of
+            this instance; otherwise cell owners receive them in reports.
     """
 
     def __init__(
@@ -623,8 +623,12 @@
         queue_delay_s = queue.prefill_delay_s + ahead_s * queue.share
         first_s = self._speeds(call.service).first_s(call.prompt.own_tokens)
         own_s = first_s + self._output_estimate(call).output * queue.token_s
-        patience_s = call.arrived_at + call.route.caller_idle_timeout_s - now
-        return WaitEstimate(queue_delay_s, own_s, left_s, first_s, patience_s)
+        idle_timeout_s = (
+            call.arrived_at + call.route.caller_idle_timeout_s - now
+        )
+        return WaitEstimate(
+            queue_delay_s, own_s, left_s, first_s, idle_timeout_s
+        )
 
     def _expect_limited(
         self, call: Call, ahead_s: float, left_s: float
--- a/src/jasminerelay/duties.py
+++ b/src/jasminerelay/duties.py
@@ -88,7 +88,7 @@
     def __init__(
         self,
         own: Member,
-        keeper: LeaseManager,
+        lease_manager: LeaseManager,
         caller: FencedCaller,
         usage: LocalUsage,
         ledger: UsageLedger,
@@ -102,7 +102,7 @@
 
         Args:
             own: This instance.
-            keeper: Takes and renews the lease.
+            lease_manager: Takes and renews the lease.
             caller: Calls the platform under the lease.
             usage: Requests that servers started for this instance.
             ledger: Usage counted by all instances.
@@ -113,7 +113,7 @@
             log: Receives events.
         """
         self._own = own
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._caller = caller
         self.reports: UsageReporter | None = None
         self.orders: Autoscaler | None = None
@@ -141,12 +141,12 @@
         self.send: Callable[[Member, DutyMessage], None] = lambda to, message: (
             None
         )
-        keeper.on_taken = self._on_lease_taken
+        lease_manager.on_taken = self._on_lease_taken
 
     @property
     def holds(self) -> bool:
         """Whether this instance holds the lease and performs the duties."""
-        return self._keeper.holds
+        return self._lease_manager.holds
 
     def true_s(self) -> float:
         """Returns the true time, in seconds since 1970."""
@@ -339,16 +339,16 @@
                 or self._backing_off(now)
             ):
                 self._log.warn("duty_given_up", fence=self._caller.fence)
-                await self._keeper.release()
+                await self._lease_manager.release()
                 return
-            await self._keeper.renew_if_due()
+            await self._lease_manager.renew_if_due()
             if self.reports is not None:
                 await self.reports.serve()
             if self.orders is not None:
                 await self.orders.serve()
         elif self._may_try_lease(now):
             self._lease_tried_at = now
-            await self._keeper.try_take()
+            await self._lease_manager.try_take()
 
     def _may_try_lease(self, now: float) -> bool:
         rank = self._coordinator_rank
--- a/src/jasminerelay/exchange.py
+++ b/src/jasminerelay/exchange.py
@@ -42,8 +42,8 @@
         misdirected: Whether another server answers at the address.
         request: Id of the answered request; "" if not given.
         closing: Whether the server closes the connection after the answer.
-        idle_timeout_s: Time for which the server keeps an idle connection; None if not
-            given.
+        idle_timeout_s: Time for which the server keeps an idle connection; None
+            if not given.
         limit: Requests per second that the server accepts from all instances
             together; None if not given.
         limit_fault: The announced limit, if it can't be parsed.
--- a/src/jasminerelay/fencedcalls.py
+++ b/src/jasminerelay/fencedcalls.py
@@ -21,9 +21,9 @@
 
     def __init__(
         self,
-        keeper: LeaseManager,
+        lease_manager: LeaseManager,
         calls: DutyCalls,
-        calls_s: float,
+        calls_per_s: float,
         clock: Callable[[], float],
         counters: Counters,
         log: EventLog,
@@ -31,17 +31,19 @@
         """Creates the caller of one instance.
 
         Args:
-            keeper: Takes and renews the lease.
+            lease_manager: Takes and renews the lease.
             calls: Interface of the platform.
-            calls_s: Calls per second that the platform accepts from all
+            calls_per_s: Calls per second that the platform accepts from all
                 instances.
             clock: Returns the time that the lease is measured by.
             counters: Receives counts of events.
             log: Receives events.
         """
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._calls = calls
-        self._bucket = TokenBucket(Limit(calls_s, max(1.0, calls_s)), clock())
+        self._bucket = TokenBucket(
+            Limit(calls_per_s, max(1.0, calls_per_s)), clock()
+        )
         self._clock = clock
         self._counters = counters
         self._log = log
@@ -51,7 +53,7 @@
     @property
     def fence(self) -> int:
         """Fencing token of the calls."""
-        return self._keeper.lease.fence
+        return self._lease_manager.lease.fence
 
     @property
     def platform_unreachable(self) -> bool:
@@ -65,7 +67,7 @@
 
     async def decide(self, report: UsageReport) -> bool:
         """Stores a report unless one is stored; StoreError if unanswered."""
-        return await self._keeper.renew(report)
+        return await self._lease_manager.renew(report)
 
     async def report(self, report: UsageReport) -> bool:
         """Sends a stored report; returns whether the platform accepted it."""
@@ -92,11 +94,11 @@
         if self._bucket.lend(1.0, time.monotonic()) < 1.0:
             self._counters.incr("duty.too_many")
             return False
-        lease = self._keeper.lease
+        lease = self._lease_manager.lease
         if self._renew_first or not lease.may_order(self._clock()):
             # A call without a response may still be executed later, so the next
             # call needs a higher fencing token.
-            self._renew_first = not await self._keeper.renew()
+            self._renew_first = not await self._lease_manager.renew()
         # Checked right before the call: the process may have been frozen for
         # longer than the lease since the check above.
         now = self._clock()
@@ -117,4 +119,4 @@
     def _on_fenced(self) -> None:
         self._counters.incr("duty.fenced")
         self._log.warn("duty_fenced", fence=self.fence)
-        self._keeper.lease.mark_lost()
+        self._lease_manager.lease.mark_lost()
--- a/src/jasminerelay/forwarding.py
+++ b/src/jasminerelay/forwarding.py
@@ -35,12 +35,14 @@
 class RequestForwarder:
     """Forwards one request until it has its final answer."""
 
-    def __init__(self, kit: ForwardingContext, call: Call, sink: ResponseSink):
-        self._kit = kit
+    def __init__(
+        self, context: ForwardingContext, call: Call, sink: ResponseSink
+    ):
+        self._context = context
         self._call = call
         self._sink = sink
         self._progress = RequestProgress(call.last_event_id)
-        self._attempt = Attempt(kit, call, sink, self._progress)
+        self._attempt = Attempt(context, call, sink, self._progress)
         self._unsent_attempts = 0
         self._not_run_attempts = 0
         self._failure: Failed | None = None
@@ -52,8 +54,8 @@
     async def run(self) -> None:
         """Serves the request; cancelled when the caller disconnects."""
         call = self._call
-        self._kit.dispatcher.record_arrival(call)
-        self._kit.budget.record_request(call.service, call.arrived_at)
+        self._context.dispatcher.record_arrival(call)
+        self._context.budget.record_request(call.service, call.arrived_at)
         ended = "caller left"
         try:
             with anyio.move_on_after(
@@ -67,7 +69,7 @@
             self._log(ended)
 
     async def _serve(self) -> None:
-        crashes = self._kit.crashes
+        crashes = self._context.crashes
         while True:
             reservation = None
             try:
@@ -89,9 +91,9 @@
     async def _reserve(self) -> Reservation:
         copy = self._progress.copy
         if copy is not None:
-            return self._kit.dispatcher.reserve_at(self._call, copy.at)
+            return self._context.dispatcher.reserve_at(self._call, copy.at)
         avoid = frozenset(self._progress.tried)
-        return await self._kit.queue.reserve_server(self._call, avoid)
+        return await self._context.queue.reserve_server(self._call, avoid)
 
     async def _attempt_at(self, reservation: Reservation) -> Outcome:
         self._placed_at = self._placed_at or time.monotonic()
@@ -105,7 +107,7 @@
             return outcome
         finally:
             reservation.run.end(verdict, self._progress.output)
-            self._kit.queue.capacity_freed(self._call.service)
+            self._context.queue.capacity_freed(self._call.service)
 
     def _verdict(self, outcome: Outcome) -> Verdict | None:
         if isinstance(outcome, Delivered | Failed):
@@ -122,7 +124,7 @@
         return None
 
     def _record_health(self, server: BackendServer, outcome: Outcome) -> None:
-        health = self._kit.dispatcher.health(self._call.service)
+        health = self._context.dispatcher.health(self._call.service)
         verdict = self._verdict(outcome)
         if verdict is Verdict.GOOD:
             health.succeeded(server.id)
@@ -133,9 +135,9 @@
         self, server: BackendServer, outcome: Outcome
     ) -> None:
         if isinstance(outcome, Delivered | Failed):
-            self._kit.crashes.record_completion(self._call)
+            self._context.crashes.record_completion(self._call)
         elif isinstance(outcome, Unknown | Interrupted) and not self.moved:
-            await self._kit.crashes.on_connection_lost(self._call, server)
+            await self._context.crashes.on_connection_lost(self._call, server)
 
     @property
     def moved(self) -> bool:
@@ -150,8 +152,8 @@
         """Counts a run; returns whether another server may run the request."""
         allowed = self._progress.may_repeat(self._call.route)
         self._progress.ran += 1
-        if allowed and not self._kit.crashes.may_retry(self._call):
-            self._kit.counters.incr("crash.not_repeated")
+        if allowed and not self._context.crashes.may_retry(self._call):
+            self._context.counters.incr("crash.not_repeated")
             return False
         return allowed and self._spend_retry()
 
@@ -221,9 +223,9 @@
             )
 
     def _spend_retry(self) -> bool:
-        if self._kit.budget.spend(self._call.service, time.monotonic()):
+        if self._context.budget.spend(self._call.service, time.monotonic()):
             return True
-        self._kit.counters.incr("retry.no_budget")
+        self._context.counters.incr("retry.no_budget")
         return False
 
     async def _reject_unplaced(self, exc: NoCapacityError) -> None:
@@ -234,7 +236,7 @@
             await self._refuse(503, exc.message, exc.retry_s)
 
     async def _reject_blocked(self) -> None:
-        self._kit.counters.incr("crash.refused")
+        self._context.counters.incr("crash.refused")
         self._log_fingerprint = True
         exc = CrashingRequestError(
             "backend servers crash while running this request; it was not run"
@@ -272,13 +274,13 @@
         call = self._call
         progress = self._progress
         good = self._answer_complete and not self._reason
-        write = self._kit.log.info if good else self._kit.log.warn
+        write = self._context.log.info if good else self._context.log.warn
         first_s = None
         if progress.first_at:
             first_s = round(progress.first_at - call.arrived_at, 3)
         total_s = round(now - call.arrived_at, 3)
-        self._kit.counters.incr(f"answer.{progress.status or 'none'}")
-        self._kit.telemetry.record_latencies(call.rank, first_s, total_s)
+        self._context.counters.incr(f"answer.{progress.status or 'none'}")
+        self._context.telemetry.record_latencies(call.rank, first_s, total_s)
         write(
             "request",
             id=call.id,
@@ -299,7 +301,7 @@
             limit_s=round(call.answer_deadline - call.arrived_at, 3),
             tokens=_token_counts(call),
             fingerprint=fingerprint.of(call) if self._log_fingerprint else "",
-            **self._kit.versions(),
+            **self._context.versions(),
         )
 
 
@@ -316,59 +318,59 @@
 
 
 @functools.singledispatch
-async def next_step(outcome: object, delivery: RequestForwarder) -> bool:
+async def next_step(outcome: object, forwarder: RequestForwarder) -> bool:
     """Returns whether to try another server after an outcome."""
     raise NotImplementedError(type(outcome))
 
 
 @next_step.register
-async def _(outcome: Delivered, delivery: RequestForwarder) -> bool:
-    delivery.record_delivered(outcome)
+async def _(outcome: Delivered, forwarder: RequestForwarder) -> bool:
+    forwarder.record_delivered(outcome)
     return False
 
 
 @next_step.register
-async def _(outcome: NotSent, delivery: RequestForwarder) -> bool:
-    if delivery.retry_unsent(outcome.why):
+async def _(outcome: NotSent, forwarder: RequestForwarder) -> bool:
+    if forwarder.retry_unsent(outcome.why):
         return True
-    await delivery.give_up()
+    await forwarder.give_up()
     return False
 
 
 @next_step.register
-async def _(outcome: NotRun, delivery: RequestForwarder) -> bool:
-    if delivery.retry_not_run(outcome.why):
+async def _(outcome: NotRun, forwarder: RequestForwarder) -> bool:
+    if forwarder.retry_not_run(outcome.why):
         return True
-    await delivery.give_up()
+    await forwarder.give_up()
     return False
 
 
 @next_step.register
-async def _(outcome: Failed, delivery: RequestForwarder) -> bool:
-    delivery.note(f"status {outcome.head.status}")
-    delivery.keep_answer(outcome)
-    if delivery.retry_after_run():
+async def _(outcome: Failed, forwarder: RequestForwarder) -> bool:
+    forwarder.note(f"status {outcome.head.status}")
+    forwarder.keep_answer(outcome)
+    if forwarder.retry_after_run():
         return True
-    await delivery.give_up()
+    await forwarder.give_up()
     return False
 
 
 @next_step.register
-async def _(outcome: Unknown, delivery: RequestForwarder) -> bool:
-    delivery.note(outcome.why)
-    if delivery.retry_after_run():
+async def _(outcome: Unknown, forwarder: RequestForwarder) -> bool:
+    forwarder.note(outcome.why)
+    if forwarder.retry_after_run():
         return True
-    await delivery.give_up()
+    await forwarder.give_up()
     return False
 
 
 @next_step.register
-async def _(outcome: Interrupted, delivery: RequestForwarder) -> bool:
-    if delivery.moved:
-        delivery.record_move()
+async def _(outcome: Interrupted, forwarder: RequestForwarder) -> bool:
+    if forwarder.moved:
+        forwarder.record_move()
         return True
-    delivery.note(outcome.why)
-    if delivery.retry_after_run():
+    forwarder.note(outcome.why)
+    if forwarder.retry_after_run():
         return True
-    await delivery.give_up()
+    await forwarder.give_up()
     return False
--- a/src/jasminerelay/headlimits.py
+++ b/src/jasminerelay/headlimits.py
@@ -36,7 +36,8 @@
     Attributes:
         head_bytes: Maximum size of a request head.
         head_timeout_s: Maximum time from the first byte of a head to its last.
-        idle_timeout_s: Maximum time that a connection may be open without a request.
+        idle_timeout_s: Maximum time that a connection may be open without a
+            request.
     """
 
     head_bytes: int
--- a/src/jasminerelay/httpclient.py
+++ b/src/jasminerelay/httpclient.py
@@ -48,8 +48,8 @@
         headers: Header fields.
         body: Body.
         timeout_s: Time limit for each read and each write.
-        new_connection: Whether to open a new connection. The server may already have
-            closed a pooled one, which looks the same as a crash after it
+        new_connection: Whether to open a new connection. The server may already
+            have closed a pooled one, which looks the same as a crash after it
             received the request; a new connection distinguishes the two.
     """
 
@@ -90,12 +90,12 @@
 
         Raises:
             NotSentError: if no byte was sent.
-            BrokenError: if the exchange failed later.
+            IncompleteExchangeError: if the exchange failed later.
         """
         async with self.stream(exchange) as response:
             try:
                 body = await response.aread()
-            except _BROKEN_ERRORS as exc:
+            except _INCOMPLETE_ERRORS as exc:
                 raise IncompleteExchangeError(repr(exc)) from exc
             return HttpResponse(
                 response.status, response_headers(response), body
@@ -109,7 +109,8 @@
 
         Raises:
             NotSentError: if no byte was sent.
-            BrokenError: if the exchange failed before the response headers.
+            IncompleteExchangeError: if the exchange failed before the response
+                headers.
         """
         headers = [(key, value) for key, value in exchange.headers.items()]
         if exchange.body or exchange.method in ("POST", "PUT", "PATCH"):
@@ -139,7 +140,7 @@
                 response = await manager.__aenter__()
             except _NOT_SENT_ERRORS as exc:
                 raise NotSentError(repr(exc)) from exc
-            except _BROKEN_ERRORS as exc:
+            except _INCOMPLETE_ERRORS as exc:
                 raise IncompleteExchangeError(repr(exc)) from exc
             try:
                 yield response
@@ -162,12 +163,13 @@
     """Yields the body of a response in the chunks received.
 
     Raises:
-        BrokenError: if the connection fails before the end of the body.
+        IncompleteExchangeError: if the connection fails before the end of the
+            body.
     """
     try:
         async for chunk in response.aiter_stream():
             yield chunk
-    except _BROKEN_ERRORS as exc:
+    except _INCOMPLETE_ERRORS as exc:
         raise IncompleteExchangeError(repr(exc)) from exc
 
 
@@ -177,7 +179,7 @@
     httpcore.PoolTimeout,
     httpcore.UnsupportedProtocol,
 )
-_BROKEN_ERRORS = (
+_INCOMPLETE_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
--- a/src/jasminerelay/limitwatch.py
+++ b/src/jasminerelay/limitwatch.py
@@ -55,7 +55,8 @@
 
     Attributes:
         allowance: Limits, and the grants that this instance holds.
-        find_placer: Returns the instance that places requests on a server, if any.
+        find_placer: Returns the instance that places requests on a server, if
+            any.
         send: Sends a message to an instance, without confirmation.
         on_grant: Called when requests may be sent to more servers than before.
     """
--- a/src/jasminerelay/manifestmanager.py
+++ b/src/jasminerelay/manifestmanager.py
@@ -127,7 +127,7 @@
             Pointer to the accepted manifest, whose write is confirmed.
 
         Raises:
-            CheckError: if the manifest is invalid.
+            InvalidConfigError: if the manifest is invalid.
             ManifestConflictError: if another version is in force.
             StoreError: if the write is neither confirmed nor rejected within
                 APPLY_TIMEOUT_S.
--- a/src/jasminerelay/outputlengths.py
+++ b/src/jasminerelay/outputlengths.py
@@ -24,7 +24,7 @@
     """Output lengths by kind.
 
     Example:
-        >>> lengths = Lengths()
+        >>> lengths = OutputLengths()
         >>> lengths.expect("chat", None, 1000)
         400
         >>> lengths.observe("chat", 100)
--- a/src/jasminerelay/ownedcells.py
+++ b/src/jasminerelay/ownedcells.py
@@ -168,14 +168,14 @@
     def _new_owner(
         self, service: str, cell: int, servers: CellServers
     ) -> CellOwner:
-        silences = PeerResponseMonitor()
+        response_monitor = PeerResponseMonitor()
         dispatcher = Dispatcher(
             servers,
             self._zone,
             lambda: 1,
             self._engines,
             self._lengths,
-            silences,
+            response_monitor,
             CacheView(),
             self._allowance,
         )
@@ -186,7 +186,7 @@
             cell,
             servers,
             dispatcher,
-            silences,
+            response_monitor,
             self.queues,
             lambda address, message: self.answer(address, message),
         )
--- a/src/jasminerelay/peerlink.py
+++ b/src/jasminerelay/peerlink.py
@@ -136,8 +136,8 @@
             MAX_OUTGOING
         )
         self._owned: OwnedCells | None = None
-        self._asking: PlacementClient | None = None
-        self._followers: FollowerRole | None = None
+        self._placement_client: PlacementClient | None = None
+        self._follower_role: FollowerRole | None = None
         self.on_snapshot: Callable[[StoreSnapshot, str], None] = lambda *_: None
         self.on_store_lost: Callable[[], None] = lambda: None
         self.on_crashes: Callable[[CrashReport], None] = lambda message: None
@@ -169,21 +169,21 @@
     def connect_components(
         self,
         owned: OwnedCells,
-        asking: PlacementClient,
-        followers: FollowerRole,
+        placement_client: PlacementClient,
+        follower_role: FollowerRole,
     ) -> None:
         """Connects the components for cells and for following the store.
 
         Args:
             owned: Decides for the cells that this instance owns.
-            asking: Requests placements from the owners of cells.
-            followers: Decides which instances follow the store for others.
+            placement_client: Requests placements from the owners of cells.
+            follower_role: Decides which instances follow the store for others.
         """
         self._owned = owned
-        self._asking = asking
-        self._followers = followers
+        self._placement_client = placement_client
+        self._follower_role = follower_role
         owned.answer = self._send_answer
-        asking.send = self._send_to_owner
+        placement_client.send = self._send_to_owner
 
     def send_message(
         self, member: Member, message: CrashReport | LimitMessage | DutyMessage
@@ -199,13 +199,15 @@
 
     def _send_answer(self, address: str, message: OwnerAnswers) -> None:
         if address == self.membership.own_member.peers:
-            self._asking.handle_message(message)
+            self._placement_client.handle_message(message)
         else:
             self._send_to(address, peermessages.encode(message))
 
     @property
     def _uses_owners(self) -> bool:
-        return self._asking is not None and self._asking.active
+        return (
+            self._placement_client is not None and self._placement_client.active
+        )
 
     async def run(self) -> None:
         """Exchanges messages with the other instances until cancelled."""
@@ -251,7 +253,7 @@
         Where the versions are newer, those instances fetch the rows from here
         instead of asking the store each.
         """
-        self._send_status(self._followers.change_recipients())
+        self._send_status(self._follower_role.change_recipients())
 
     def broadcast_confirmation(self) -> None:
         """Notifies the others that the store confirmed the data, or is lost.
@@ -259,7 +261,7 @@
         An instance that has the same or newer versions adopts this age for its
         data, and need not ask the store.
         """
-        self._send_status(self._followers.confirmation_recipients())
+        self._send_status(self._follower_role.confirmation_recipients())
 
     def without_store(self) -> list[str]:
         """Returns the instances that lost the store; may include this one."""
@@ -288,7 +290,7 @@
         ]
         chosen = self._rng.sample(peers, min(LOAD_FANOUT, len(peers)))
         if self._uses_owners:
-            owners = self._asking.other_owners()
+            owners = self._placement_client.other_owners()
             count = min(OWNER_FANOUT, len(owners))
             chosen = self._rng.sample(owners, count) + chosen[count:]
         message = dataclasses.replace(
@@ -367,7 +369,7 @@
 
     @_dispatch.register
     def _(self, message: OwnerAnswers) -> None:
-        self._asking.handle_message(message)
+        self._placement_client.handle_message(message)
 
     @_dispatch.register
     def _(self, message: CrashReport) -> None:
@@ -406,7 +408,7 @@
         if self._owned is not None:
             self._owned.queues.update(message.queues, now)
             if message.standing.touch != StoreStatus.UNREACHABLE:
-                self._followers.record_message(message.sender, now)
+                self._follower_role.record_message(message.sender, now)
         if message.gossip is not None:
             self._send_all(self.membership.receive(message.gossip, now))
 
--- a/src/jasminerelay/permitclient.py
+++ b/src/jasminerelay/permitclient.py
@@ -105,7 +105,7 @@
         self._live_names: list[str] = []
         self._live_names_at = float("-inf")
         self._broker_names: dict[str, str] = {}
-        self._borrowers: dict[str, BorrowedBalance] = {}
+        self._balances: dict[str, BorrowedBalance] = {}
         self._fallback_buckets: dict[str, TokenBucket] = {}
         self._loan_events: dict[str, list[anyio.Event]] = {}
         self._last_loans: dict[str, TokenLoan] = {}
@@ -198,17 +198,17 @@
         if not organisation.tokens_per_s:
             return None
         limit = _limit_of(organisation)
-        borrower = self._borrowers.setdefault(
+        balance = self._balances.setdefault(
             organisation.name, BorrowedBalance(limit, len(self._live()) or 1)
         )
         tokens = min(tokens, limit.burst)
-        if borrower.take(tokens):
+        if balance.take(tokens):
             return None
         loan = await self._request_loan(
-            organisation, borrower.tokens_to_borrow(tokens)
+            organisation, balance.tokens_to_borrow(tokens)
         )
-        borrower.add_loan(loan.tokens)
-        return None if borrower.take(tokens) else loan
+        balance.add_loan(loan.tokens)
+        return None if balance.take(tokens) else loan
 
     def settle(
         self, organisation: Organisation, estimated: float, used: float
@@ -220,10 +220,10 @@
             estimated: Tokens that `take_tokens` was called with.
             used: Tokens of the answer; 0 if the request did not run.
         """
-        borrower = self._borrowers.get(organisation.name)
-        if borrower is not None:
+        balance = self._balances.get(organisation.name)
+        if balance is not None:
             limit = _limit_of(organisation)
-            borrower.settle(min(estimated, limit.burst) - used)
+            balance.settle(min(estimated, limit.burst) - used)
 
     def on_frame(self, peer: str, frame: BrokerFrame) -> None:
         """Handles a frame of a broker."""
@@ -265,7 +265,7 @@
 
     def on_manifest_changed(self) -> None:
         """Applies the cells and limits of a newer manifest."""
-        self._borrowers.clear()
+        self._balances.clear()
         self._fallback_buckets.clear()
         directory = self._directory()
         for name, broker in self._local_brokers.items():
--- a/src/jasminerelay/placementclient.py
+++ b/src/jasminerelay/placementclient.py
@@ -200,7 +200,7 @@
         """Waits for a placement.
 
         Raises:
-            NoRoomError: if none will be available in time.
+            NoCapacityError: if none will be available in time.
         """
         pending = self._new_pending(call, avoid)
         if pending is None:
@@ -537,10 +537,10 @@
         self, servers: Iterable[str], now: float
     ) -> list[ServerObservation]:
         observations = []
-        paces = self._dispatcher.token_times
+        token_times = self._dispatcher.token_times
         for name in servers:
-            token_s = paces.own_token_s(name, now) or 0.0
-            step_s = paces.step_time_s(name) or 0.0
+            token_s = token_times.own_token_s(name, now) or 0.0
+            step_s = token_times.step_time_s(name) or 0.0
             silent = self._dispatcher.silent(name, now)
             if token_s or step_s or silent:
                 observations.append(
--- a/src/jasminerelay/placementmessages.py
+++ b/src/jasminerelay/placementmessages.py
@@ -20,7 +20,7 @@
 REFUSED = "refused"
 ELSEWHERE = "elsewhere"
 FOREIGN = "foreign"
-"""States of a `PlaceAnswer`."""
+"""States of a `PlacementAnswer`."""
 
 MS = 1e3
 US = 1e6
--- a/src/jasminerelay/placementqueue.py
+++ b/src/jasminerelay/placementqueue.py
@@ -86,7 +86,7 @@
     async def reserve_server(
         self, call: Call, avoid: frozenset[str]
     ) -> Reservation:
-        """Reserves a server; raises NoRoomError if none is free in time."""
+        """Reserves a server; raises NoCapacityError if none is free in time."""
 
     def capacity_freed(self, service: str) -> None:
         """Notes that a server of a service has free capacity again."""
@@ -140,7 +140,7 @@
         """Waits for a server.
 
         Raises:
-            NoRoomError: if no server is free in time.
+            NoCapacityError: if no server is free in time.
         """
         done = anyio.Event()
         entry = self.enqueue(call, avoid, lambda entry: done.set())
--- a/src/jasminerelay/placements.py
+++ b/src/jasminerelay/placements.py
@@ -106,21 +106,21 @@
         self._cfg = cfg
         self._counters = counters
         self._lease = Lease(cfg.placement_lease_s, cfg.order_timeout_s)
-        self._keeper = LeaseManager(
+        self._lease_manager = LeaseManager(
             _TableLeaseStore(table),
             self._lease,
             own.instance,
             own.incarnation,
             time.monotonic,
         )
-        self._keeper.on_taken = self._on_lease_taken
+        self._lease_manager.on_taken = self._on_lease_taken
         self._bucket: TokenBucket | None = None
         self._bucket_rate = 0.0
 
     @property
     def holds(self) -> bool:
         """Whether this instance holds the lease and gives the orders."""
-        return self._keeper.holds
+        return self._lease_manager.holds
 
     async def run(self) -> None:
         """Takes or renews the lease and reconciles under it, forever."""
@@ -138,9 +138,9 @@
 
     async def _take_or_renew_lease(self) -> None:
         if self.holds:
-            await self._keeper.renew_if_due()
+            await self._lease_manager.renew_if_due()
         elif self._is_candidate():
-            await self._keeper.try_take()
+            await self._lease_manager.try_take()
 
     def _on_lease_taken(self) -> None:
         # The previous holder may just have ordered weights to be loaded.
--- a/src/jasminerelay/platform/dutyassembly.py
+++ b/src/jasminerelay/platform/dutyassembly.py
@@ -54,15 +54,17 @@
         started=now_s(),
     )
     table = DutyTable(store, log)
-    keeper = LeaseManager(table, lease, boot.name, own.instance, now_s)
+    lease_manager = LeaseManager(table, lease, boot.name, own.instance, now_s)
     calls = DutyApi(client, options.address, boot.name, call_s, log)
-    caller = FencedCaller(keeper, calls, options.calls_s, now_s, counters, log)
+    caller = FencedCaller(
+        lease_manager, calls, options.calls_s, now_s, counters, log
+    )
     clock = TrueClock(now_s(), time.time())
     usage = LocalUsage(options.window_s)
     ledger = UsageLedger()
     duties = Duties(
         own,
-        keeper,
+        lease_manager,
         caller,
         usage,
         ledger,
--- a/src/jasminerelay/platform/ingress.py
+++ b/src/jasminerelay/platform/ingress.py
@@ -33,7 +33,8 @@
     Attributes:
         forwarding: Components that forward requests.
         catalog: Returns the configuration in force; None before the first.
-        configuration_confirmed: Returns whether that configuration is confirmed as current.
+        configuration_confirmed: Returns whether that configuration is confirmed
+            as current.
         stopping: Returns whether the instance is shutting down.
         accepts: Returns whether a request with this time limit is accepted.
         log: Event log.
@@ -94,12 +95,12 @@
         call = self._call(scope, body, arrived)
         if not self._context.accepts(call.answer_deadline - arrived):
             raise NotReadyError("this instance is shutting down", retry_s=0.05)
-        delivery = RequestForwarder(self._context.forwarding, call, sink)
+        forwarder = RequestForwarder(self._context.forwarding, call, sink)
         async with anyio.create_task_group() as group:
             group.start_soon(
                 _cancel_on_disconnect, receive, sink, group.cancel_scope
             )
-            await delivery.run()
+            await forwarder.run()
             group.cancel_scope.cancel()
 
     async def _body(self, receive) -> bytes:
--- a/src/jasminerelay/platform/root.py
+++ b/src/jasminerelay/platform/root.py
@@ -361,18 +361,18 @@
     def _build_ports(self) -> None:
         boot = self.boot
         dialect = PlatformDialect()
-        evacuator = StreamMigrator(
+        stream_migrator = StreamMigrator(
             self.client, dialect, self.counters, self.log
         )
-        self._registry_feed.on_leaving = evacuator.leaving
+        self._registry_feed.on_leaving = stream_migrator.leaving
         self._registry_feed.on_removed = self._on_server_removed
         self._registry_feed.on_changed = self._peers.notify_dependents
-        kit = ForwardingContext(
+        forwarding = ForwardingContext(
             self.dispatcher,
             self._placement_client,
             self._channels,
             dialect,
-            evacuator,
+            stream_migrator,
             self._retry_budget,
             self._crashes,
             self._rate_limits,
@@ -384,7 +384,7 @@
             self._versions,
         )
         front = IngressContext(
-            kit,
+            forwarding,
             lambda: self.registry.catalog if self.registry.complete else None,
             lambda: self.configuration_confirmed,
             lambda: self._planned_stop is not None,
--- a/src/jasminerelay/responses.py
+++ b/src/jasminerelay/responses.py
@@ -61,12 +61,12 @@
 
     def __init__(
         self,
-        kit: ResponseContext,
+        context: ResponseContext,
         answer: Answer,
         request: ModelRequest,
     ):
         super().__init__()
-        self._context = kit
+        self._context = context
         self._answer = answer
         self._request = request
 
--- a/src/jasminerelay/resumedanswers.py
+++ b/src/jasminerelay/resumedanswers.py
@@ -19,13 +19,13 @@
 
     def __init__(
         self,
-        kit: AnswerContext,
+        context: AnswerContext,
         request: ModelRequest,
         placement: RequestPolicy,
         point: ResumePoint,
         server: Server,
     ):
-        super().__init__(kit, request, placement)
+        super().__init__(context, request, placement)
         self._resume_point = point
         self._stream_server = server
         self._id = point.request_id
--- a/src/jasminerelay/serverselection.py
+++ b/src/jasminerelay/serverselection.py
@@ -24,8 +24,8 @@
         granted: Permits granted on it and not yet released.
         unattributed: Requests in its load report that no permit accounts for.
         slowness: Step time relative to the median of its peers.
-        cached_blocks: Leading blocks of the prompt that its prefix cache probably
-            holds.
+        cached_blocks: Leading blocks of the prompt that its prefix cache
+            probably holds.
     """
 
     server: Server
--- a/src/jasminerelay/servicecalls.py
+++ b/src/jasminerelay/servicecalls.py
@@ -82,20 +82,20 @@
 
     def __init__(
         self,
-        desk: PermitClient,
+        permit_client: PermitClient,
         services: ServiceClient,
-        claim_desk: ClaimStore,
-        book: burn.BurnRecorder,
+        claim_store: ClaimStore,
+        burn_recorder: burn.BurnRecorder,
         counters: Counters,
         invariants: InvariantHandler,
         on_leaving: Callable[[str], None],
         spawn: Callable[..., None],
         ticket: Callable[[str, str, float], str],
     ):
-        self._permits = desk
+        self._permits = permit_client
         self._services = services
-        self._claims = claim_desk
-        self._burn_recorder = book
+        self._claims = claim_store
+        self._burn_recorder = burn_recorder
         self._counters = counters
         self._invariants = invariants
         self._on_leaving = on_leaving
--- a/src/jasminerelay/storefollowing.py
+++ b/src/jasminerelay/storefollowing.py
@@ -87,8 +87,8 @@
 
     Attributes:
         last_answer_at: Monotonic time of the store's last answer to any call.
-        on_confirmed_or_lost: Called when the store itself has confirmed the data up to a
-            later moment, and when the store becomes unreachable.
+        on_confirmed_or_lost: Called when the store itself has confirmed the
+            data up to a later moment, and when the store becomes unreachable.
     """
 
     def __init__(self, registry: Registry, freshness: Freshness, log: EventLog):
--- a/src/jasminerelay/watchdog.py
+++ b/src/jasminerelay/watchdog.py
@@ -19,7 +19,7 @@
     """The deadline of one waiting task.
 
     Example:
-        >>> guard = watchdog.guard(connection.abort)   # doctest: +SKIP
+        >>> guard = watchdog.add_guard(connection.abort)   # doctest: +SKIP
         >>> guard.arm(3.0)                             # doctest: +SKIP
         >>> await connection.read()                    # doctest: +SKIP
         >>> guard.disarm()                             # doctest: +SKIP
--- a/src/jasminerelay/workload.py
+++ b/src/jasminerelay/workload.py
@@ -167,7 +167,8 @@
         changed: Whether the own loads changed since the flag was last cleared.
         runs: Own in-flight requests by number.
         ended: Own ended requests that are not yet reported.
-        changed_servers: Servers whose own loads changed and are not yet reported.
+        changed_servers: Servers whose own loads changed and are not yet
+            reported.
     """
 
     def __init__(self) -> None:
--- a/tests/dutyworld.py
+++ b/tests/dutyworld.py
@@ -165,9 +165,9 @@
 
     async def report(self, report: UsageReport, fence: int) -> CallResult:
         """Reports the usage of a window."""
-        judge = self._simulation.checker
+        checker = self._simulation.checker
         return await self._call(
-            lambda now, excused: judge.usage(
+            lambda now, excused: checker.usage(
                 self._machine,
                 fence,
                 report.window,
@@ -179,10 +179,10 @@
 
     async def order(self, order: ServerOrder, fence: int) -> CallResult:
         """Orders a number of servers."""
-        judge = self._simulation.checker
+        checker = self._simulation.checker
         place = (order.service, order.zone, order.preemptible)
         return await self._call(
-            lambda now, excused: judge.scale(
+            lambda now, excused: checker.scale(
                 self._machine, fence, place, order.count, now, excused=excused
             )
         )
@@ -270,10 +270,12 @@
             started=now,
         )
         rows = StoreAccess(self)
-        keeper = LeaseManager(rows, lease, machine, name, anyio.current_time)
+        lease_manager = LeaseManager(
+            rows, lease, machine, name, anyio.current_time
+        )
         calls = PlatformAccess(self, machine)
         caller = FencedCaller(
-            keeper, calls, 50.0, anyio.current_time, Quiet(), Quiet()
+            lease_manager, calls, 50.0, anyio.current_time, Quiet(), Quiet()
         )
         ledger = UsageLedger()
         registry = types.SimpleNamespace(
@@ -282,7 +284,7 @@
         )
         watch = Duties(
             Member(name, "", "", "", "", name, "alive", 0),
-            keeper,
+            lease_manager,
             caller,
             LocalUsage(WINDOW_S),
             ledger,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -28,9 +28,9 @@
         "organisation": "org",
         "weight": 1.0,
         "work": 10.0,
-        "arrived": 0.0,
+        "arrived_at": 0.0,
         "deadline": 1.0,
-        "expires": 1000.0,
+        "expires_at": 1000.0,
         "protected": False,
         "floor_share": 0.0,
     }
--- a/tests/platformsoak.py
+++ b/tests/platformsoak.py
@@ -558,10 +558,10 @@
             )
 
     def _check_duties(self) -> None:
-        judge = self.site.duties.checker
-        for broken in judge.violations:
-            self._record_violation(f"duties: {broken}")
-        self.counts["windows reported"] = len(judge.reports)
+        checker = self.site.duties.checker
+        for violation in checker.violations:
+            self._record_violation(f"duties: {violation}")
+        self.counts["windows reported"] = len(checker.reports)
 
     def _check_runs(self) -> None:
         sent = {request.attempt: request for request in self._requests}
--- a/tests/safeguardlist.py
+++ b/tests/safeguardlist.py
@@ -48,8 +48,8 @@
     Safeguard(
         "a failed resume does not prove that the request has not run",
         "backends",
-        "raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc\n\n\n"
-        "async def fetch_cache_events",
+        "raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN) from exc\n"
+        "\n\nasync def fetch_cache_events",
         "raise\n\n\nasync def fetch_cache_events",
         "test_streams.BrokenStreamTest"
         ".test_continues_on_another_engine_if_resume_is_refused",
@@ -66,7 +66,8 @@
         "a lost answer does not prove that the request has not run",
         "backends",
         "except IncompleteExchangeError as exc:\n"
-        "            raise AttemptError(str(exc), ExecutionStatus.MAY_HAVE_RUN)",
+        "            raise AttemptError(str(exc), "
+        "ExecutionStatus.MAY_HAVE_RUN)",
         "except IncompleteExchangeError as exc:\n"
         "            raise AttemptError(str(exc), ExecutionStatus.NOT_RUN)",
         "test_atmostonce.AtMostOnceTest.test_answer_lost",
@@ -495,7 +496,8 @@
     Safeguard(
         "a waiting call is renewed once another has failed",
         "storefollowing",
-        "            self._abort_waiting_calls()\n            self.on_confirmed_or_lost()\n",
+        "            self._abort_waiting_calls()\n"
+        "            self.on_confirmed_or_lost()\n",
         "            self.on_confirmed_or_lost()\n",
         "test_following.FollowerTest"
         ".test_waiting_call_left_unanswered_by_outage",
@@ -560,7 +562,9 @@
     Safeguard(
         "no final refusal once a newer configuration was announced",
         "platform/root",
-        "not self._peers.peer_status.newer_configuration_reported(time.monotonic())",
+        "not self._peers.peer_status.newer_configuration_reported(\n"
+        "            time.monotonic()\n"
+        "        )",
         "True",
         "test_silentstore.SilentStoreTest.test_newer_version_not_yet_received",
     ),
@@ -603,7 +607,9 @@
     Safeguard(
         "the callers' deadlines bound the queueing delay",
         "admission",
-        "self.queue_delay_s + self.first_s - self.caller_idle_timeout_s * MARGIN_SHARE,",
+        "self.queue_delay_s\n"
+        "            + self.first_s\n"
+        "            - self.caller_idle_timeout_s * MARGIN_SHARE,",
         "0.0,",
         "test_waitingroom.QueueTest.test_refuses_callers_who_would_disconnect",
     ),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -152,7 +152,7 @@
         # The longest of 2 s, four times the latency objective and eight times
         # the longest pause.
         base = {**CONFIGURATION["routes"][0], "routeType": "streaming"}
-        for objective, pause, patience_s in (
+        for objective, pause, idle_timeout_s in (
             (300, 120, 2.0),
             (800, 200, 3.2),
             (300, 1000, 8.0),
@@ -161,7 +161,7 @@
             data = {**CONFIGURATION, "routes": [{**base, **changes}]}
             catalog = decoding.catalog(msgspec.json.encode(data))
             self.assertEqual(
-                catalog.routes[0].caller_idle_timeout_s, patience_s
+                catalog.routes[0].caller_idle_timeout_s, idle_timeout_s
             )
 
     def test_levels_keep_the_routes_order(self) -> None:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -164,8 +164,8 @@
         broker = Broker(cell(server("s", slots=1), max_waiting=1))
         broker.enqueue(waiting("running"), 9.0)
         broker.step(9.0)
-        broker.enqueue(waiting("young", arrived=9.0, deadline=10.0), 9.0)
-        broker.enqueue(waiting("old", arrived=1.0, deadline=2.0), 9.0)
+        broker.enqueue(waiting("young", arrived_at=9.0, deadline=10.0), 9.0)
+        broker.enqueue(waiting("old", arrived_at=1.0, deadline=2.0), 9.0)
         self.assertEqual(refused(broker.step(9.0)), {"young": REFUSED_FULL})
 
     def test_started_is_never_shed(self) -> None:
@@ -181,7 +181,7 @@
         broker = Broker(cell(server("s", slots=1)))
         broker.enqueue(waiting("running"), 0.0)
         broker.step(0.0)
-        broker.enqueue(waiting("late", expires=2.0), 0.0)
+        broker.enqueue(waiting("late", expires_at=2.0), 0.0)
         self.assertEqual(refused(broker.step(1.9)), {})
         self.assertEqual(broker.next_expiry(), 2.0)
         self.assertEqual(refused(broker.step(2.0)), {"late": REFUSED_LATE})
@@ -306,9 +306,9 @@
             f"{self.count:06d}",
             rank=rank,
             organisation=organisation,
-            arrived=self.now,
+            arrived_at=self.now,
             deadline=self.now + 1,
-            expires=self.now + max_wait_s,
+            expires_at=self.now + max_wait_s,
             protected=rank == 1,
             floor_share=0.1 if rank == 5 else 0.0,
             leave_free=0.1 if rank > 2 else 0.0,
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -234,8 +234,8 @@
         )
         yield call(
             f"c{number}",
-            arrived=now,
-            ends=now + 15.0,
+            arrived_at=now,
+            answer_deadline=now + 15.0,
             prompt=Prompt(parts, 6_000, 400, 200),
         )
 
@@ -257,8 +257,8 @@
             for number in range(4):
                 item = call(
                     f"{node.name}-{number}",
-                    arrived=time.monotonic(),
-                    ends=time.monotonic() + 4.0,
+                    arrived_at=time.monotonic(),
+                    answer_deadline=time.monotonic() + 4.0,
                     prompt=None,
                 )
                 reservation = await node.placement_client.reserve_server(
@@ -346,20 +346,22 @@
         ]
 
     def test_each_has_one_leader(self) -> None:
-        led = [
+        notified = [
             member.instance
             for node in self.zone_followers
             for member in node.followers.change_recipients()
         ]
         names = {node.name for node in self.zone_followers}
         self.assertEqual(len(self.zone_followers), FOLLOWERS_PER_ZONE)
-        self.assertEqual(sorted(led), sorted(set(self.site.names) - names))
+        self.assertEqual(sorted(notified), sorted(set(self.site.names) - names))
 
     def test_silent_leaders(self) -> None:
         # An instance doesn't follow the store closely while the followers of
         # its zone send messages, and does so once they have been silent.
-        led = self.zone_followers[0].followers.change_recipients()[0].instance
-        followers = self.site.nodes[led].followers
+        notified = (
+            self.zone_followers[0].followers.change_recipients()[0].instance
+        )
+        followers = self.site.nodes[notified].followers
         self.assertTrue(followers.follows_closely())
         now = time.monotonic()
         followers.record_message(self.zone_followers[0].name, now)
@@ -634,7 +636,9 @@
         )
         now = time.monotonic()
         brief = next(prompts(1))
-        brief = call("h", arrived=now, ends=now + 0.1, prompt=brief.prompt)
+        brief = call(
+            "h", arrived_at=now, answer_deadline=now + 0.1, prompt=brief.prompt
+        )
         with self.assertRaises(NoCapacityError) as caught:
             await node.placement_client.reserve_server(brief, frozenset())
         self.assertIsNotNone(caught.exception.retry_s)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -117,7 +117,9 @@
             # Rendezvous hashing prefers the first engine for some prefixes.
             parts = (PromptPart(f"start-{number}", 5000), PromptPart("x", 600))
             prompt = Prompt(parts, 5600, 1000, 400)
-            request = call(arrived=now - 1.9, ends=now + 13.1, prompt=prompt)
+            request = call(
+                arrived_at=now - 1.9, answer_deadline=now + 13.1, prompt=prompt
+            )
             placed = here.place(request, frozenset())
             self.assertEqual(placed.server.id, "i-001")
 
@@ -209,8 +211,8 @@
         parts = (PromptPart("start", 200), PromptPart("own", 400))
         request = call(
             "chat",
-            arrived=now,
-            ends=now + 10.0,
+            arrived_at=now,
+            answer_deadline=now + 10.0,
             route=route(name="chat", rank=0, pause_s=0.3),
             prompt=Prompt(parts, 600, 300, 200),
         )
@@ -240,8 +242,8 @@
         parts = (PromptPart("start", 200), PromptPart("own", 400))
         request = call(
             kind,
-            arrived=now,
-            ends=now + 10.0,
+            arrived_at=now,
+            answer_deadline=now + 10.0,
             route=route(name=kind, rank=rank, pause_s=0.3),
             prompt=Prompt(parts, 600, 300, 200),
         )
@@ -290,7 +292,9 @@
             instance.place, instance.expect, instance.busy_s, instance.reserve
         )
         for number in range(30):
-            request = call(f"c{number}", arrived=now, ends=now + 15.0)
+            request = call(
+                f"c{number}", arrived_at=now, answer_deadline=now + 15.0
+            )
             queue._queue.append(QueueEntry(request, frozenset(), 0.1))
         # The clock is fixed: a wait estimate expires after 20 ms, and on a busy
         # machine one pass may take longer.
@@ -312,7 +316,7 @@
 class PeerMessageTest(unittest.TestCase):
     """Encoding of the datagrams between instances."""
 
-    def word(self, loads: list[ServerLoad]) -> PeerMessage:
+    def message(self, loads: list[ServerLoad]) -> PeerMessage:
         demand = [RouteDemand("pool/long", 0.5, 900.0, 2)]
         return PeerMessage(
             None,
@@ -325,9 +329,9 @@
 
     def test_round_trip(self) -> None:
         loads = [ServerLoad("a", 1, 2, 3, 4), ServerLoad("b", 5, 6, 7)]
-        word = peermessages.decode(peermessages.encode(self.word(loads)))
-        self.assertEqual(peermessages.load_rows(word.loads), loads)
-        (demand,) = peermessages.demand_rows(word.demand)
+        message = peermessages.decode(peermessages.encode(self.message(loads)))
+        self.assertEqual(peermessages.load_rows(message.loads), loads)
+        (demand,) = peermessages.demand_rows(message.demand)
         self.assertEqual((demand.kind, demand.rank), ("pool/long", 2))
 
     def test_datagram_size(self) -> None:
@@ -336,14 +340,14 @@
             ServerLoad(f"i-{number:010x}", 9000, 3, 40_000, 5000)
             for number in range(30)
         ]
-        self.assertLess(len(peermessages.encode(self.word(loads))), 1100)
+        self.assertLess(len(peermessages.encode(self.message(loads))), 1100)
 
     def test_invalid_data_is_rejected(self) -> None:
         # With lists of different lengths a server would get another server's
         # load.
-        word = self.word([ServerLoad("a", 1, 2, 3, 4)])
-        word.loads.unread.clear()
-        for data in (b"", b"\xc1", b"\x80", peermessages.encode(word)):
+        message = self.message([ServerLoad("a", 1, 2, 3, 4)])
+        message.loads.unread.clear()
+        for data in (b"", b"\xc1", b"\x80", peermessages.encode(message)):
             with self.assertRaises(ValueError):
                 peermessages.decode(data)
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -37,7 +37,7 @@
 def silent_log() -> EventLog:
     """Returns a log that discards everything."""
     log = types.SimpleNamespace()
-    log.info = log.trouble = lambda event, **fields: None
+    log.info = log.warn = lambda event, **fields: None
     return log
 
 
@@ -181,7 +181,7 @@
             await self.wait_for_calls(script, 3)
 
     @contextlib.asynccontextmanager
-    async def pausing(self, manner):
+    async def pausing(self, mode):
         """Yields the calls of a follower during its pause, and its state."""
         row = ServerRow("s", 1, b"pool:ready")
         changed = ServerRow("s", 2, b"pool:ready")
@@ -194,7 +194,7 @@
         counters = Counters(Statsd())
         feed = RegistryFeed(registry, "configuration", counters, log)
         follower = TableFollower(
-            "servers", script, state, counters, random.Random(1), manner
+            "servers", script, state, counters, random.Random(1), mode
         )
         with anyio.fail_after(10):
             async with anyio.create_task_group() as group:
@@ -263,7 +263,7 @@
         # arrived.
         lines = []
         log = types.SimpleNamespace(
-            trouble=lambda event, **fields: lines.append((event, fields))
+            warn=lambda event, **fields: lines.append((event, fields))
         )
         registry = Registry(
             lambda data: types.SimpleNamespace(version=int(data)), decode
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -53,14 +53,14 @@
         async def take_tokens(organisation, tokens) -> None:
             del organisation, tokens
 
-        desk = types.SimpleNamespace(
+        permit_client = types.SimpleNamespace(
             acquire=acquire,
             take_tokens=take_tokens,
             settle=lambda *taken: None,
             choose_cell=lambda *asked: cell(server("s")),
         )
-        kit = answers.AnswerContext(
-            desk,
+        context = answers.AnswerContext(
+            permit_client,
             None,
             None,
             burn.BurnRecorder(),
@@ -83,7 +83,7 @@
             Pool("pool", ["m"], [server("s")]),
             0.0,
         )
-        answer = answers.Answer(kit, request, placement)
+        answer = answers.Answer(context, request, placement)
         with (
             self.assertLogs("jasminerelay.metrics", "ERROR"),
             self.assertRaises(InvariantError),
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -127,7 +127,7 @@
     def disconnect(self, entry: str, send) -> None:
         self.gone.append(entry)
 
-    def take(self, frame: InstanceFrame) -> None:
+    def on_frame(self, frame: InstanceFrame) -> None:
         self.frames_taken += 1
         self._send(BrokerFrame([], [], [], []))
 
--- a/tests/test_namedlimits.py
+++ b/tests/test_namedlimits.py
@@ -107,7 +107,9 @@
     async def test_limit_holds_for_cell_owners(self) -> None:
         # Guards against requests that a cell owner places without a grant.
         self.enterContext(
-            unittest.mock.patch.object(placementclient, "OWNERS_FROM", 2)
+            unittest.mock.patch.object(
+                placementclient, "MIN_INSTANCES_FOR_OWNERS", 2
+            )
         )
         await self.test_limit_holds_over_all_instances()
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -125,17 +125,19 @@
     )
     def test_only_forward_and_only_whole(self, offers) -> None:
         base = (EXAMPLES / "teixeira.toml").read_text()
-        spread = AdoptedManifest()
+        adopted_manifest = AdoptedManifest()
         highest = 0
         for version, damaged in offers:
             body = base + f"\n# {version}\n"
-            pointer = type(spread.pointer)(version, manifest.digest_of(body))
+            pointer = type(adopted_manifest.pointer)(
+                version, manifest.digest_of(body)
+            )
             offered = body[:-3] if damaged else body
-            adopted = spread.adopt(pointer, offered)
+            adopted = adopted_manifest.adopt(pointer, offered)
             self.assertEqual(adopted, version > highest and not damaged)
             if adopted:
                 highest = version
-            self.assertEqual(spread.pointer.version, highest)
+            self.assertEqual(adopted_manifest.pointer.version, highest)
 
 
 class ResumePointTest(unittest.TestCase):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -44,9 +44,9 @@
     """Choice of the backend server for a permit."""
 
     def candidate(self, name: str, **fields) -> Candidate:
-        values = {"granted": 0, "unexplained": 0, "slowness": 1.0}
+        values = {"granted": 0, "unattributed": 0, "slowness": 1.0}
         return Candidate(
-            server(name, slots=4), **{**values, "matched": 0, **fields}
+            server(name, slots=4), **{**values, "cached_blocks": 0, **fields}
         )
 
     def test_least_loaded(self) -> None:
@@ -58,12 +58,12 @@
 
     def test_cached_prefix_outweighs_small_load_difference(self) -> None:
         item = waiting("x", prefixes=(1, 2))
-        warm = self.candidate("warm", granted=1, matched=2)
+        warm = self.candidate("warm", granted=1, cached_blocks=2)
         self.assertEqual(
             select_server(item, [warm, self.candidate("cold")]).server.name,
             "warm",
         )
-        hot = self.candidate("hot", granted=3, matched=2)
+        hot = self.candidate("hot", granted=3, cached_blocks=2)
         self.assertEqual(
             select_server(item, [hot, self.candidate("cold")]).server.name,
             "cold",
@@ -80,7 +80,7 @@
         self.assertEqual(chosen.server.name, "fast")
 
     def test_avoided_and_full_servers_are_not_chosen(self) -> None:
-        full = self.candidate("full", granted=3, unexplained=1)
+        full = self.candidate("full", granted=3, unattributed=1)
         failed = self.candidate("failed")
         item = waiting("x", avoid=("failed",))
         self.assertIsNone(select_server(item, [full, failed]))
@@ -219,16 +219,16 @@
     def test_total_use_stays_within_the_limit(self, count, requests) -> None:
         limit = Limit(100.0, 200.0)
         bucket = TokenBucket(limit, 0.0)
-        borrowers = [BorrowedBalance(limit, count) for _ in range(count)]
+        balances = [BorrowedBalance(limit, count) for _ in range(count)]
         now, used = 0.0, 0.0
         for index, tokens, pause in requests:
             now += pause
-            borrower = borrowers[index % count]
-            if not borrower.take(tokens):
-                borrower.add_loan(
-                    bucket.lend(borrower.tokens_to_borrow(tokens), now)
+            balance = balances[index % count]
+            if not balance.take(tokens):
+                balance.add_loan(
+                    bucket.lend(balance.tokens_to_borrow(tokens), now)
                 )
-                if not borrower.take(tokens):
+                if not balance.take(tokens):
                     continue
             used += tokens
         self.assertLessEqual(used, 200.0 + 100.0 * now + 1e-6)
@@ -239,11 +239,11 @@
         self.assertAlmostEqual(bucket.retry_s(5.0), 0.5)
 
     def test_unused_tokens_are_returned(self) -> None:
-        borrower = BorrowedBalance(Limit(10.0, 20.0), 1)
-        borrower.add_loan(10.0)
-        self.assertTrue(borrower.take(10.0))
-        borrower.settle(7.0)
-        self.assertTrue(borrower.take(7.0))
+        balance = BorrowedBalance(Limit(10.0, 20.0), 1)
+        balance.add_loan(10.0)
+        self.assertTrue(balance.take(10.0))
+        balance.settle(7.0)
+        self.assertTrue(balance.take(7.0))
 
 
 class OutcomeTest(unittest.TestCase):
@@ -322,15 +322,15 @@
         return burn.Sample("chat", ended, met, 0.5, tokens, wasted)
 
     def test_merged_over_instances(self) -> None:
-        books = [burn.BurnRecorder(), burn.BurnRecorder()]
-        books[0].add(self.sample(met=True), 1000.0)
-        books[1].add(self.sample(met=False, redone=5), 1000.0)
+        recorders = [burn.BurnRecorder(), burn.BurnRecorder()]
+        recorders[0].add(self.sample(met=True), 1000.0)
+        recorders[1].add(self.sample(met=False, redone=5), 1000.0)
         answers = [
             {
-                "short": book.totals(burn.SHORT_WINDOW_S, 1000.0),
-                "long": book.totals(burn.LONG_WINDOW_S, 1000.0),
+                "short": recorder.totals(burn.SHORT_WINDOW_S, 1000.0),
+                "long": recorder.totals(burn.LONG_WINDOW_S, 1000.0),
             }
-            for book in books
+            for recorder in recorders
         ]
         classes = [ServiceClass("chat", 1, 2.0, goal=0.9)]
         (row,) = burn.report(classes, answers)
@@ -342,21 +342,21 @@
         self.assertAlmostEqual(row.long.latency_s(50), 0.5, delta=0.01)
 
     def test_windows(self) -> None:
-        book = burn.BurnRecorder()
-        book.add(self.sample(met=False), 0.0)
-        book.add(self.sample(met=True), 1800.0)
+        recorder = burn.BurnRecorder()
+        recorder.add(self.sample(met=False), 0.0)
+        recorder.add(self.sample(met=True), 1800.0)
         self.assertEqual(
-            book.totals(burn.SHORT_WINDOW_S, 1800.0)["chat"].attainment, 1.0
+            recorder.totals(burn.SHORT_WINDOW_S, 1800.0)["chat"].attainment, 1.0
         )
         self.assertEqual(
-            book.totals(burn.LONG_WINDOW_S, 1800.0)["chat"].attainment, 0.5
+            recorder.totals(burn.LONG_WINDOW_S, 1800.0)["chat"].attainment, 0.5
         )
 
     def test_state_is_bounded(self) -> None:
-        book = burn.BurnRecorder()
+        recorder = burn.BurnRecorder()
         for minute in range(500):
-            book.add(self.sample(met=True), minute * 60.0)
-        self.assertLessEqual(len(book._buckets), 61)
+            recorder.add(self.sample(met=True), minute * 60.0)
+        self.assertLessEqual(len(recorder._buckets), 61)
 
 
 if __name__ == "__main__":
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -61,7 +61,7 @@
             name: BrokerHost(lambda: self.directory, counters, invariants)
             for name in self.names
         }
-        self.desks = {
+        self.clients = {
             name: PermitClient(
                 Member(name, "1", "z", "", "", "", "alive", 1),
                 self.live,
@@ -80,7 +80,7 @@
     def connect(self, name: str, peer: str, host: BrokerHost) -> None:
         def answer(frame) -> None:
             if peer not in self.silent:
-                self.desks[name].on_frame(peer, frame)
+                self.clients[name].on_frame(peer, frame)
 
         host.connect(name, answer)
 
@@ -139,7 +139,7 @@
             for name in self.instances.names
             if name != self.instances.broker_name
         )
-        self.desk = self.instances.desks[self.entry]
+        self.client = self.instances.clients[self.entry]
 
     async def test_grant_while_permits_move(self) -> None:
         # The broker fails and this instance becomes the broker. It reports its
@@ -147,32 +147,32 @@
         # pending requests. The dictionary of permits then changed during
         # iteration and the instance crashed (randomised run, seed 5).
         for number in range(3):
-            self.desk.take_over(
+            self.client.take_over(
                 HeldPermit(str(number), "pool/0", "s", 1, False)
             )
         self.instances.down.add(self.instances.broker_name)
-        sent = self.desk._send
+        sent = self.client._send
 
         def answering(peer: str, frame: InstanceFrame) -> None:
             sent(peer, frame)
             if frame.held:
                 granted = HeldPermit(f"late-{peer}", "pool/0", "s", 1, False)
-                self.desk._held_permits.setdefault(
+                self.client._held_permits.setdefault(
                     granted.ask_id,
                     dataclasses.replace(
-                        self.desk._held_permits["0"], held=granted
+                        self.client._held_permits["0"], held=granted
                     ),
                 )
 
-        self.desk._send = answering
-        self.desk._live_names_at = 0.0
-        self.desk._tick(time.monotonic())
+        self.client._send = answering
+        self.client._live_names_at = 0.0
+        self.client._tick(time.monotonic())
 
     async def test_granted_and_released(self) -> None:
-        grant = await self.desk.acquire(permit_request("1"))
+        grant = await self.client.acquire(permit_request("1"))
         self.assertEqual(grant, PermitGrant("1", "pool/0", "s"))
         self.assertEqual(self.instances.held(self.instances.broker_name), 1)
-        self.desk.release(release("1"))
+        self.client.release(release("1"))
         self.assertEqual(self.instances.held(self.instances.broker_name), 0)
 
     async def test_former_broker_releases_permit(self) -> None:
@@ -180,32 +180,32 @@
         # must be reported to the new broker and released at the former one;
         # otherwise its slot stays occupied there for ever.
         first = self.instances.broker_name
-        await self.desk.acquire(permit_request("1"))
+        await self.client.acquire(permit_request("1"))
         self.instances.down.add(first)
         await anyio.sleep(0.15)
-        self.desk._tick(0.0)
+        self.client._tick(0.0)
         second = self.instances.broker_name
         self.assertNotEqual(first, second)
         self.assertEqual(self.instances.held(first), 0)
         self.assertEqual(self.instances.held(second), 1)
         self.instances.down.clear()
         await anyio.sleep(0.15)
-        self.desk._tick(0.0)
+        self.client._tick(0.0)
         self.assertEqual(self.instances.held(second), 0)
-        self.desk.release(release("1"))
+        self.client.release(release("1"))
         self.assertEqual(self.instances.held(first), 0)
 
     async def test_new_session_frees_lost_releases(self) -> None:
         # A release is lost with the connection. The next session lists the
         # permits held, and the broker must free the slots of all others.
         broker_name = self.instances.broker_name
-        await self.desk.acquire(permit_request("1"))
-        await self.desk.acquire(permit_request("2"))
+        await self.client.acquire(permit_request("1"))
+        await self.client.acquire(permit_request("2"))
         self.assertEqual(self.instances.held(broker_name), 2)
-        self.desk._held_permits.pop("1")
+        self.client._held_permits.pop("1")
         host = self.instances.hosts[broker_name]
         self.instances.connect(self.entry, broker_name, host)
-        self.desk.on_link_up(broker_name)
+        self.client.on_link_up(broker_name)
         self.assertEqual(self.instances.held(broker_name), 1)
 
     async def test_unresponsive_broker_and_late_grant(self) -> None:
@@ -214,15 +214,15 @@
         # request has ended and must be released; without the cell in the
         # release, the slot stayed occupied.
         broker_name = self.instances.broker_name
-        await self.desk.acquire(permit_request("0"))
-        self.desk.release(release("0"))
+        await self.client.acquire(permit_request("0"))
+        self.client.release(release("0"))
         self.instances.silent.add(broker_name)
         async with anyio.create_task_group() as group:
-            group.start_soon(self.desk.run)
-            grant = await self.desk.acquire(permit_request("1"))
+            group.start_soon(self.client.run)
+            grant = await self.client.acquire(permit_request("1"))
             self.assertIsInstance(grant, PermitGrant)
             group.cancel_scope.cancel()
-        self.desk.release(release("1"))
+        self.client.release(release("1"))
         self.instances.silent.clear()
         self.instances.hosts[broker_name].on_frame(
             InstanceFrame(self.entry, "1", [permit_request("1")], [], [], [])
@@ -233,11 +233,11 @@
         # The manifest removes the pool while a request waits for a permit.
         # The request must be refused; otherwise it is requested for ever.
         for ask_id in ("1", "2"):
-            await self.desk.acquire(permit_request(ask_id))
+            await self.client.acquire(permit_request(ask_id))
         results: list[PermitRefusal] = []
 
         async def wait() -> None:
-            results.append(await self.desk.acquire(permit_request("3")))
+            results.append(await self.client.acquire(permit_request("3")))
 
         async with anyio.create_task_group() as group:
             group.start_soon(wait)
@@ -249,7 +249,7 @@
                 while not results:
                     await anyio.sleep(0.01)
         self.assertEqual(results[0].reason, "no_server")
-        refusal = await self.desk.acquire(permit_request("4"))
+        refusal = await self.client.acquire(permit_request("4"))
         self.assertEqual(refusal.reason, "no_server")
 
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -38,7 +38,7 @@
         "name": "long",
         "host": "h",
         "prefix": "/",
-        "repeat": RepeatPolicy.ONCE,
+        "repeat_policy": RepeatPolicy.ONCE,
         "streaming": True,
         "timeout_s": 15.0,
         "objective_s": 2.0,
@@ -52,7 +52,7 @@
     return Route(**{**values, **fields})
 
 
-def call(name: str = "c1", arrived: float = 0.0, **fields) -> Call:
+def call(name: str = "c1", arrived_at: float = 0.0, **fields) -> Call:
     """Returns a request with a shared prompt prefix of 5,000 tokens."""
     parts = (PromptPart("start", 5000), PromptPart(name, 6000))
     values = {
@@ -67,9 +67,9 @@
         "headers": (),
         "body": b"",
         "prompt": Prompt(parts, 11_000, 1000, 400),
-        "last_event": "",
-        "arrived": arrived,
-        "ends": arrived + 15.0,
+        "last_event_id": "",
+        "arrived_at": arrived_at,
+        "answer_deadline": arrived_at + 15.0,
     }
     return Call(name, **{**values, **fields})
 
--- a/tests/test_platformduties.py
+++ b/tests/test_platformduties.py
@@ -299,15 +299,15 @@
                     attempt=f"a{number}",
                 )
                 self.assertEqual(answer.status, 200)
-            judge = site.duties.checker
-            await self.until(lambda: self.reported(judge) == 6)
+            checker = site.duties.checker
+            await self.until(lambda: self.reported(checker) == 6)
             place = (MODEL_BACKEND, "north", True)
-            await self.until(lambda: place in judge.servers)
-            self.assertEqual(judge.violations, [])
+            await self.until(lambda: place in checker.servers)
+            self.assertEqual(checker.violations, [])
 
-    def reported(self, judge) -> int:
+    def reported(self, checker) -> int:
         """Returns the number of requests in all reports."""
-        return sum(sum(counts.values()) for counts in judge.reports.values())
+        return sum(sum(counts.values()) for counts in checker.reports.values())
 
 
 if __name__ == "__main__":
--- a/tests/test_platforminstances.py
+++ b/tests/test_platforminstances.py
@@ -199,7 +199,7 @@
         # each arrive before the others listen, and are lost. Until the next
         # ones each instance considers itself the only one: it lists only
         # itself to callers and fills the engines as if no other used them.
-        with unittest.mock.patch.object(peerlink, "GREET_EVERY_S", 1e9):
+        with unittest.mock.patch.object(peerlink, "JOIN_INTERVAL_S", 1e9):
             async with (
                 self.site() as (site, (first,)),
                 await anyio.create_udp_socket(local_host="127.0.0.1") as other,
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -57,7 +57,7 @@
 
     def test_new_holder_orders_no_additional_servers(self) -> None:
         # Guards against a doubling of servers with each change of the holder.
-        simulation = ScalingSimulation(4, scaling(most=30))
+        simulation = ScalingSimulation(4, scaling(max_servers=30))
         simulation.run_for(STARTUP_S, NORMAL_LOAD)
         there = simulation.there()
         for work in (NORMAL_LOAD, 0.0):
@@ -179,7 +179,7 @@
         self.check(simulation)
 
     def test_lower_bound(self) -> None:
-        simulation = ScalingSimulation(4, scaling(least=2))
+        simulation = ScalingSimulation(4, scaling(min_servers=2))
         simulation.run_for(STARTUP_S, NORMAL_LOAD)
         simulation.run_for(90.0, 0.1)
         for zone in ZONES:
@@ -188,7 +188,7 @@
     def test_changed_bounds_apply_at_once(self) -> None:
         simulation = ScalingSimulation(4, scaling())
         simulation.run_for(STARTUP_S, NORMAL_LOAD)
-        simulation.allowed = scaling(most=3)
+        simulation.allowed = scaling(max_servers=3)
         simulation.run_for(3.0, NORMAL_LOAD)
         self.assertLessEqual(simulation.there(), 9)
 
--- a/tests/test_silentstore.py
+++ b/tests/test_silentstore.py
@@ -141,7 +141,7 @@
             answer = await self.ask(instance, "/added/x")
             self.assertEqual(answer.status, 503)
 
-    @unittest.mock.patch.object(root, "CURRENT_S", float("inf"))
+    @unittest.mock.patch.object(root, "MAX_CONFIRMED_AGE_S", float("inf"))
     async def test_newer_version_not_yet_received(self) -> None:
         # A caller of a route just added reaches an instance that knows of the
         # new version but has not received it: its own call hangs, and the
--- a/tests/test_waitingroom.py
+++ b/tests/test_waitingroom.py
@@ -132,10 +132,10 @@
             2.9, 1.0, 15.0, first_s=0.3, caller_idle_timeout_s=3.0
         )
         self.assertTrue(estimate.too_late)
-        longer_patience = dataclasses.replace(
+        longer_timeout = dataclasses.replace(
             estimate, caller_idle_timeout_s=4.0
         )
-        self.assertFalse(longer_patience.too_late)
+        self.assertFalse(longer_timeout.too_late)
 
     def test_retry_after_is_bounded(self) -> None:
         # Callers respect a Retry-After of up to a third of their time left.
